--- a/admit/cost.go
+++ b/admit/cost.go
@@ -8,89 +8,85 @@
 )
 
 const (
-	// costSmoothing is the weight of the newest request in a route's cost:
-	// some sixty requests, a second or two of a busy node, so that one long
-	// request does not move its whole kind.
+	// costSmoothing is the weight of the newest request in a route's mean
+	// cost, low enough that one long request does not change it much.
 	costSmoothing = 1.0 / 64
-	// leastWeight is the least part of the parts that a cheap route's
-	// requests are drawn from. Whatever is cheaper than a quarter of the
-	// dearest gains nothing more, and the dearest kind keeps a part of
-	// whatever room there is: a route with four times the cost is admitted a
-	// fourth as often, never not at all.
-	leastWeight = 0.25
+	// minWeight is the smallest fraction of a rank's levels used for a
+	// route. It bounds the advantage of cheap routes: the most expensive
+	// route is admitted at no less than a quarter of the rate of any other
+	// in its rank.
+	minWeight = 0.25
 )
 
-// Costs keeps what a whole request on each route takes of the targets that
-// are short of room, its calls included. Under overload the same slot time
-// finishes two requests of one kind or five of another; served in proportion
-// to what they ask, the kind with one short call loses as much as the one
-// whose calls filled the target. With the parts of a cheaper route drawn from
-// the lower ones only, each kind is admitted in inverse proportion to its
-// cost. It is safe for concurrent use.
+// Costs keeps the mean slot time that a request on each route, including its
+// calls, takes at overloaded targets. Under overload, requests are admitted
+// in inverse proportion to that cost, since the same slot time completes
+// more of the cheap ones: the levels of a cheaper route are drawn from only
+// the lower levels of the rank. It is safe for concurrent use.
 type Costs struct {
 	mu     sync.Mutex
 	routes map[string]*cost
 }
 
-// Levels gives new requests their levels.
+// Levels assigns levels to new requests.
 type Levels interface {
 	Level(k Kind, id call.RequestID) call.Level
 }
 
-// Kind is what is known of a new request's rank.
+// Kind describes a new request for assigning its level.
 type Kind struct {
 	Route    string
-	Priority int // of the route; routes of the same are weighed by their cost
+	Priority int // of the route; costs are compared among routes of equal priority
 	Rank     int // of the request
 }
 
-// Even draws the levels of all routes alike.
+// Even assigns levels without regard to the cost of routes.
 type Even struct{}
 
 // Level implements Levels.
 func (Even) Level(k Kind, id call.RequestID) call.Level { return LevelOf(k.Rank, id) }
 
 type cost struct {
-	rank  int
-	taken time.Duration // mean slot time of a whole request
+	rank     int
+	slotTime time.Duration // mean per request, including its calls
 }
 
-// NewCosts returns a Costs that knows no route.
+// NewCosts returns a Costs without any known route.
 func NewCosts() *Costs { return &Costs{routes: map[string]*cost{}} }
 
-// Took notes that a whole request on a route took so much slot time of
-// targets that are short of room.
+// Took records the slot time that a request on a route, including its calls,
+// took at overloaded targets.
 func (c *Costs) Took(route string, priority int, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.routes[route]
 	if k == nil {
-		k = &cost{taken: d}
+		k = &cost{slotTime: d}
 		c.routes[route] = k
 	}
 	k.rank = rank(priority)
-	k.taken += time.Duration(float64(d-k.taken) * costSmoothing)
+	k.slotTime += time.Duration(float64(d-k.slotTime) * costSmoothing)
 }
 
-// Mean returns the mean slot time of a route's requests, 0 if not known.
+// Mean returns the mean slot time of a route's requests, or 0 if unknown.
 func (c *Costs) Mean(route string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := c.routes[route]; k != nil {
-		return k.taken
+		return k.slotTime
 	}
 	return 0
 }
 
-// Level returns the level of a new request. All of its calls have it too, so
-// a request that one target would refuse is refused as a whole and not after
-// half its calls.
+// Level returns the level of a new request. All calls of the request inherit
+// it, so that a request is refused at its entry rather than after some of
+// its calls have run.
 func (c *Costs) Level(k Kind, id call.RequestID) call.Level {
 	return levelOf(k.Rank, id, c.weight(k.Route, rank(k.Priority)))
 }
 
-// weight is the part of the parts that a route's requests are drawn from:
-// its cost against the dearest of its rank.
+// weight returns the fraction of the rank's levels to use for a route: its
+// cost relative to the most expensive route of the rank.
 func (c *Costs) weight(route string, rank int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,14 +94,14 @@
 	if k == nil {
 		return 1
 	}
-	dearest := k.taken
-	for _, o := range c.routes {
-		if o.rank == rank {
-			dearest = max(dearest, o.taken)
+	highest := k.slotTime
+	for _, other := range c.routes {
+		if other.rank == rank {
+			highest = max(highest, other.slotTime)
 		}
 	}
-	if dearest == 0 {
+	if highest == 0 {
 		return 1
 	}
-	return max(float64(k.taken)/float64(dearest), leastWeight)
+	return max(float64(k.slotTime)/float64(highest), minWeight)
 }
--- a/admit/cost_test.go
+++ b/admit/cost_test.go
@@ -9,45 +9,45 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// admitted returns the part of a route's requests up to a level.
-func admitted(c *Costs, route string, priority int, up call.Level) float64 {
+// admittedFraction returns the fraction of a route's requests that are
+// admitted at a threshold.
+func admittedFraction(c *Costs, route string, priority int, threshold call.Level) float64 {
 	n := 0
 	for i := range 2000 {
-		if c.Level(Kind{Route: route, Priority: priority, Rank: priority}, call.RequestID(fmt.Sprint(route, i))) <= up {
+		if c.Level(Kind{Route: route, Priority: priority, Rank: priority}, call.RequestID(fmt.Sprint(route, i))) <= threshold {
 			n++
 		}
 	}
 	return float64(n) / 2000
 }
 
-// A read with eight calls of 30 ms and a release of 96 ms share a rank and
-// the target that is short of room. With every kind cut by the same part, as
-// much room goes to a read that is refused at its eighth call as two releases
-// would need, and releases miss their floor on the busiest days.
-func TestRoomGoesToKindsInInverseProportionToTheirCost(t *testing.T) {
-	Convey("Half of the rank is refused", t, func() {
+// Guards against refusing the same fraction of every route: a read with
+// eight calls must not take the capacity that would complete several cheaper
+// releases.
+func TestRoutesAreAdmittedInInverseProportionToCost(t *testing.T) {
+	Convey("Without known costs, all routes are refused alike", t, func() {
 		c := NewCosts()
-		So(admitted(c, "view", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
-		So(admitted(c, "release", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
+		So(admittedFraction(c, "view", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
+		So(admittedFraction(c, "release", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
 		for range 200 {
 			c.Took("view", 2, 240*time.Millisecond)
 			c.Took("release", 2, 96*time.Millisecond)
 			c.Took("extend", 0, time.Millisecond)
 			c.Took("book", 0, 240*time.Millisecond)
 		}
-		Convey("All of the cheap kind pass, and half of the dear one", func() {
-			So(admitted(c, "release", 2, 2*Parts+7), ShouldEqual, 1)
-			So(admitted(c, "view", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
+		Convey("The cheap route is fully admitted, half of the expensive one", func() {
+			So(admittedFraction(c, "release", 2, 2*Parts+7), ShouldEqual, 1)
+			So(admittedFraction(c, "view", 2, 2*Parts+7), ShouldAlmostEqual, 0.5, 0.04)
 		})
-		Convey("With less room, in inverse proportion", func() {
-			So(admitted(c, "release", 2, 2*Parts+1), ShouldAlmostEqual, 2/6.4, 0.04)
-			So(admitted(c, "view", 2, 2*Parts+1), ShouldAlmostEqual, 2/16.0, 0.03)
+		Convey("With less capacity, admission is in inverse proportion to cost", func() {
+			So(admittedFraction(c, "release", 2, 2*Parts+1), ShouldAlmostEqual, 2/6.4, 0.04)
+			So(admittedFraction(c, "view", 2, 2*Parts+1), ShouldAlmostEqual, 2/16.0, 0.03)
 		})
-		Convey("But the dearest is never four times worse off, and ranks are apart", func() {
-			So(admitted(c, "extend", 0, 0), ShouldAlmostEqual, 1/4.0, 0.04)
-			So(admitted(c, "extend", 0, 3), ShouldEqual, 1)
-			So(admitted(c, "book", 0, 3), ShouldAlmostEqual, 0.25, 0.04)
-			So(admitted(c, "book", 0, Parts-1), ShouldEqual, 1)
+		Convey("The ratio is at most four, and ranks are independent", func() {
+			So(admittedFraction(c, "extend", 0, 0), ShouldAlmostEqual, 1/4.0, 0.04)
+			So(admittedFraction(c, "extend", 0, 3), ShouldEqual, 1)
+			So(admittedFraction(c, "book", 0, 3), ShouldAlmostEqual, 0.25, 0.04)
+			So(admittedFraction(c, "book", 0, Parts-1), ShouldEqual, 1)
 		})
 	})
 }
--- a/admit/doc.go
+++ b/admit/doc.go
@@ -1,6 +1,6 @@
-// Package admit decides which new requests are refused under overload, before
-// any of their work is done. Each target's node works out up to which level
-// its target can serve what comes, the answers carry that back along the
-// call chain, and the node at which a request enters compares. It needs no
-// network.
+// Package admit decides which new requests are refused under overload,
+// before any work is done for them. The node of each target computes the
+// highest level that the target has capacity for, responses carry it back
+// along the call chain, and the node where a request enters compares it with
+// the request's level. It needs no network.
 package admit
--- a/admit/level.go
+++ b/admit/level.go
@@ -6,20 +6,19 @@
 )
 
 const (
-	// Parts is how finely the requests of one rank are told apart: refusing
-	// one part more or less changes a rank's load by 1/16, under the noise
-	// of arrivals at one target.
+	// Parts is the number of levels in each rank. Raising or lowering a
+	// threshold by one level changes the load of a rank by 1/16.
 	Parts = 16
-	// maxRank is the lowest rank told apart.
-	maxRank = 7
-	levels  = (maxRank + 1) * Parts
+	// maxRank is the last rank, which is refused first.
+	maxRank   = 7
+	numLevels = (maxRank + 1) * Parts
 
-	// Top is the level up to which everything is admitted.
-	Top call.Level = levels - 1
+	// Top is the highest level. As a threshold it admits everything.
+	Top call.Level = numLevels - 1
 )
 
-// Squeeze maps a rank out of so many to one of those that are told apart,
-// in the same order.
+// Squeeze scales a rank from the range [0, of) to the supported ranks,
+// preserving order.
 func Squeeze(rank, of int) int {
 	if of <= maxRank+1 {
 		return rank
@@ -27,24 +26,22 @@
 	return rank * (maxRank + 1) / of
 }
 
-// LevelOf returns the level of a request of which nothing but its priority is
-// known: its rank and, within it, a part drawn from its id. All nodes draw
-// the same part.
+// LevelOf returns the level of a request from its priority and ID. The ID is
+// hashed to a level within the rank, so all nodes compute the same one.
 func LevelOf(priority int, id call.RequestID) call.Level { return levelOf(priority, id, 1) }
 
-// levelOf draws a level within a rank from an id, from the lowest parts up to
-// a weight of them.
+// levelOf hashes an ID to one of the first weight*Parts levels of a rank.
 func levelOf(priority int, id call.RequestID, weight float64) call.Level {
-	const draws = 1 << 53 // as many as a float64 tells apart
-	u := float64(xxhash.Sum64String(string(id))>>11) / draws
+	const steps = 1 << 53 // float64 has 53 bits of precision
+	u := float64(xxhash.Sum64String(string(id))>>11) / steps
 	return call.Level(rank(priority)*Parts) + call.Level(u*weight*Parts)
 }
 
-// rank returns the rank of a priority, 0 to be served first.
+// rank returns the rank of a priority; rank 0 is served first.
 func rank(priority int) int { return max(0, min(priority, maxRank)) }
 
-// RankOf returns the rank of a level, 0 to be served first.
+// RankOf returns the rank of a level; rank 0 is served first.
 func RankOf(l call.Level) int { return int(min(l, Top)) / Parts }
 
-// PartOf returns a level's part within its rank, from 0 to Parts-1.
+// PartOf returns the position of a level within its rank, from 0 to Parts-1.
 func PartOf(l call.Level) int { return int(min(l, Top)) % Parts }
--- a/admit/meter.go
+++ b/admit/meter.go
@@ -8,106 +8,106 @@
 )
 
 const (
-	// window is how often a threshold is worked out again: long enough for
-	// about a hundred arrivals at a busy target, short against the half
-	// second that queues take to fill in a surge.
-	window = 200 * time.Millisecond
-	// newest is the weight of the newest window in the mean demand: a surge
-	// shows within three windows, and chance moves the mean by a few percent.
-	newest = 0.35
-	// targetUse is the part of a target's slots that admitted work may fill.
-	// At sixty slots, requests wait for tens of milliseconds there, well
-	// within their callers' times, and no slot stands empty.
-	targetUse = 0.98
-	// queueAllowed is the time for which the slots may have work waiting.
-	queueAllowed = 30 * time.Millisecond
-	// drainTime is within which a queue beyond that is to be worked off.
+	// interval is how often the threshold is recomputed: long enough to see
+	// a meaningful number of arrivals, short against the time in which
+	// queues fill in a surge.
+	interval = 200 * time.Millisecond
+	// demandSmoothing is the weight of the newest interval in the mean
+	// demand. A surge shows within three intervals.
+	demandSmoothing = 0.35
+	// targetUtilization is the fraction of a target's slots that admitted
+	// work may use.
+	targetUtilization = 0.98
+	// allowedQueueDelay is the queueing time per slot that is tolerated
+	// before the threshold is lowered to drain the queue.
+	allowedQueueDelay = 30 * time.Millisecond
+	// drainTime is the time within which a longer queue is to be drained.
 	drainTime = time.Second
-	// maxRaise is the most parts by which a threshold rises in a window;
-	// from one part the step doubles, so that a whole rank is back within
-	// five calm windows.
-	maxRaise = 8
+	// maxRaiseStep is the most levels by which the threshold rises per
+	// interval. The step starts at one level and doubles, so that a whole
+	// rank is readmitted within five intervals without excess.
+	maxRaiseStep = 8
 )
 
-// Meter works out up to which level a target can serve what comes to it,
-// from the demand at each level. Calls count at the level of the request
-// that they belong to. The threshold is set where the demand seen fills the
-// target, not stepped down while the excess lasts: requests admitted before
-// still make their calls for a second, and stepping down meanwhile would
-// refuse far too much.
+// Meter computes the highest level that a target has capacity for from the
+// demand at each level. Calls count at the level of the request they belong
+// to. The threshold is set directly to where the demand fits, not stepped
+// down while the excess lasts: requests that were admitted earlier go on
+// making calls, and stepping would overshoot. It is safe for concurrent use.
 type Meter struct {
-	mu     sync.Mutex
-	slots  float64
-	now    [levels]float64 // demand in this window, in slot seconds
-	mean   [levels]float64 // per second
-	began  time.Time       // of this window
-	level  call.Level
-	raise  int
-	queued time.Duration // work that waits, in slot time
+	mu            sync.Mutex
+	slots         float64
+	demand        [numLevels]float64 // in the current interval, in slot seconds
+	meanDemand    [numLevels]float64 // in slot seconds per second
+	intervalStart time.Time
+	level         call.Level
+	raiseStep     int
+	queued        time.Duration // queued work, in slot time
 }
 
-// NewMeter returns a Meter for a target with so many slots; everything is
-// admitted until demand shows otherwise.
+// NewMeter returns a Meter for a target with the given number of slots. It
+// admits everything until demand exceeds them.
 func NewMeter(slots int) *Meter {
-	return &Meter{slots: float64(slots), level: Top, raise: 1}
+	return &Meter{slots: float64(slots), level: Top, raiseStep: 1}
 }
 
-// SetSlots changes how many requests the target works on at once.
+// SetSlots changes the number of requests that the target processes
+// concurrently.
 func (m *Meter) SetSlots(n int) {
 	m.mu.Lock()
 	m.slots = float64(n)
 	m.mu.Unlock()
 }
 
-// Arrive notes a request at a level that takes a slot for about work, and
-// the work that waits already.
+// Arrive records the arrival of a request at a level, the slot time it is
+// expected to take, and the slot time of the work already queued.
 func (m *Meter) Arrive(l call.Level, work, queued time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.roll(time.Now())
-	m.now[min(l, Top)] += work.Seconds()
+	m.advance(time.Now())
+	m.demand[min(l, Top)] += work.Seconds()
 	m.queued = queued
 }
 
-// Threshold returns the last level that is admitted.
+// Threshold returns the highest level that is admitted.
 func (m *Meter) Threshold() call.Level {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.roll(time.Now())
+	m.advance(time.Now())
 	return m.level
 }
 
-// roll closes the window if its time is up. Windows that passed without a
-// call count as empty ones, up to as many as matter.
-func (m *Meter) roll(now time.Time) {
-	if m.began.IsZero() {
-		m.began = now
+// advance closes the current interval if it has ended. Intervals without a
+// call count as empty, up to maxRaiseStep of them.
+func (m *Meter) advance(now time.Time) {
+	if m.intervalStart.IsZero() {
+		m.intervalStart = now
 	}
-	passed := int(now.Sub(m.began) / window)
-	if passed == 0 {
+	elapsed := int(now.Sub(m.intervalStart) / interval)
+	if elapsed == 0 {
 		return
 	}
-	m.began = m.began.Add(time.Duration(passed) * window)
-	for range min(passed, maxRaise) {
-		for i := range m.mean {
-			m.mean[i] += (m.now[i]/window.Seconds() - m.mean[i]) * newest
-			m.now[i] = 0
+	m.intervalStart = m.intervalStart.Add(time.Duration(elapsed) * interval)
+	for range min(elapsed, maxRaiseStep) {
+		for i := range m.meanDemand {
+			m.meanDemand[i] += (m.demand[i]/interval.Seconds() - m.meanDemand[i]) * demandSmoothing
+			m.demand[i] = 0
 		}
 		m.adjust()
 	}
 }
 
 func (m *Meter) adjust() {
-	excess := max(0, m.queued.Seconds()-m.slots*queueAllowed.Seconds())
-	room := m.slots*targetUse - excess/drainTime.Seconds()
+	excess := max(0, m.queued.Seconds()-m.slots*allowedQueueDelay.Seconds())
+	capacity := m.slots*targetUtilization - excess/drainTime.Seconds()
 	var sum float64
 	for l := call.Level(0); l <= m.level; l++ {
-		sum += m.mean[l]
-		if sum > room {
-			m.level, m.raise = max(l, 1)-1, 1
+		sum += m.meanDemand[l]
+		if sum > capacity {
+			m.level, m.raiseStep = max(l, 1)-1, 1
 			return
 		}
 	}
-	m.level = min(m.level+call.Level(m.raise), Top)
-	m.raise = min(2*m.raise, maxRaise)
+	m.level = min(m.level+call.Level(m.raiseStep), Top)
+	m.raiseStep = min(2*m.raiseStep, maxRaiseStep)
 }
--- a/admit/meter_test.go
+++ b/admit/meter_test.go
@@ -10,10 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// load sends rate requests a second of each priority for a time, each of
-// which takes work at the target, and returns how many of each priority the
-// meter's threshold admitted. What is refused does not arrive.
-func load(m *Meter, rates map[int]int, work, d time.Duration) map[int]float64 {
+// offerLoad sends rates[p] requests per second of each priority p for the
+// duration d, each of which takes work at the target, and returns the
+// fraction of each priority that was admitted. Refused requests do not
+// arrive.
+func offerLoad(m *Meter, rates map[int]int, work, d time.Duration) map[int]float64 {
 	admitted := map[int]float64{}
 	sent := map[int]float64{}
 	const step = 10 * time.Millisecond
@@ -39,70 +40,71 @@
 	return admitted
 }
 
-// A launch day: reads of the lowest rank double while approvals stay as they
-// were. The target can do 1,000 requests a second (60 slots, 60 ms each) and
-// gets 1,600. Every approval is to be admitted, as many reads as there is
-// room for, and all of them within two seconds of the surge's end.
-func TestASurgeOfReadsCostsReadsOnly(t *testing.T) {
+// With 1,600 requests per second for a capacity of 1,000, only the lowest
+// rank may be refused, only as far as needed, and it must be fully admitted
+// again within two seconds after the surge.
+func TestSurgeRefusesLowestRankOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMeter(60)
 		const work = 60 * time.Millisecond
-		Convey("In a surge the lowest rank gives way, as far as needed", t, func() {
-			calm := load(m, map[int]int{0: 300, 2: 500}, work, 3*time.Second)
+		Convey("In a surge the lowest rank is refused as far as needed", t, func() {
+			calm := offerLoad(m, map[int]int{0: 300, 2: 500}, work, 3*time.Second)
 			So(calm[0], ShouldEqual, 1)
 			So(calm[2], ShouldEqual, 1)
-			load(m, map[int]int{0: 300, 2: 1300}, work, time.Second)
-			surge := load(m, map[int]int{0: 300, 2: 1300}, work, 10*time.Second)
+			offerLoad(m, map[int]int{0: 300, 2: 1300}, work, time.Second)
+			surge := offerLoad(m, map[int]int{0: 300, 2: 1300}, work, 10*time.Second)
 			So(surge[0], ShouldEqual, 1)
 			So(surge[2], ShouldBeBetween, 0.37, 0.56)
-			load(m, map[int]int{0: 300, 2: 500}, work, 2*time.Second)
-			after := load(m, map[int]int{0: 300, 2: 500}, work, time.Second)
+			offerLoad(m, map[int]int{0: 300, 2: 500}, work, 2*time.Second)
+			after := offerLoad(m, map[int]int{0: 300, 2: 500}, work, time.Second)
 			So(after[2], ShouldEqual, 1)
 		})
 	})
 }
 
-// Requests admitted before a surge go on calling for a second while new ones
-// are refused already. Stepping down for as long as calls come in excess
-// would refuse nearly all; the threshold goes where the demand fits at once.
-func TestCallsOfEarlierRequestsDoNotPushTheThresholdDown(t *testing.T) {
+// Requests admitted before a surge go on making calls at levels that are
+// already refused. Guards against lowering the threshold further for as long
+// as that excess lasts.
+func TestExcessAtRefusedLevelsDoesNotLowerThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMeter(60)
-		Convey("Excess at levels already refused changes nothing", t, func() {
+		Convey("Excess at refused levels does not lower the threshold", t, func() {
 			for i := range 500 {
 				for j := range 16 {
 					m.Arrive(call.Level(2*Parts+(i+j)%Parts), 60*time.Millisecond, 0)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
-			// 1,600 a second of one rank: ten of its sixteen parts fit.
+			// At 1,600 requests per second of one rank, 10 of its 16 levels
+			// fit.
 			So(m.Threshold(), ShouldBeBetweenOrEqual, 2*Parts+7, 2*Parts+10)
 		})
 	})
 }
 
-func TestAQueueLowersTheThresholdUntilItIsGone(t *testing.T) {
+func TestQueuedWorkLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMeter(10)
-		Convey("Waiting work counts as demand", t, func() {
+		Convey("Queued work counts as demand", t, func() {
 			for i := range 750 {
 				m.Arrive(call.Level(i%Parts), 16*time.Millisecond, 5*time.Second)
 				time.Sleep(2 * time.Millisecond)
 			}
-			// Eight slots of demand in sixteen parts; 9.8 slots less the 4.7
-			// that the queue beyond its allowance takes leave ten parts.
+			// The demand is 8 slots over 16 levels. Of 9.8 usable slots,
+			// draining the excess queue takes 4.7, which leaves room for 10
+			// levels.
 			So(m.Threshold(), ShouldBeBetweenOrEqual, 8, 10)
 		})
 	})
 }
 
-// The last rank is refused whole, so no answer on its route tells that there
-// is room again. The threshold a caller holds is given up with time.
-func TestAThresholdThatNobodyConfirmsIsGivenUp(t *testing.T) {
+// When a whole rank is refused, no response on its route can report that
+// there is capacity again. The threshold must rise by itself.
+func TestUnconfirmedThresholdExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBoard()
 		b.See(127)
-		Convey("It rises from the last one told", t, func() {
+		Convey("It rises from the last reported value", t, func() {
 			So(b.Threshold("read"), ShouldEqual, Top)
 			b.Told("read", 20, "entwurf")
 			So(b.Threshold("read"), ShouldEqual, 20)
@@ -114,15 +116,14 @@
 	})
 }
 
-// One of three instances turns twelve times slower, and its node can admit
-// hardly anything. The others have room, and do twelve times as much: no
-// more than a part or two is to be refused. Nor may rounding refuse any, hop
-// after hop.
-func TestOneSlowInstanceRefusesLittle(t *testing.T) {
+// One of three instances slows down and admits almost nothing, while the
+// others have capacity. Guards against refusing more than a level or two,
+// and against refusals that accumulate by rounding at each hop.
+func TestSlowInstanceBarelyLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBoard()
 		b.See(47)
-		Convey("Answers count, not instances; levels are rounded to the nearest", t, func() {
+		Convey("Responses are weighted by time, and levels are rounded to the nearest", t, func() {
 			for i := range 250 {
 				b.Told("fetch", Top, "")
 				if i%25 == 24 {
@@ -141,11 +142,11 @@
 	})
 }
 
-// In the first moments of a day a node has seen approvals only. That tells
-// nothing of reads: neither it nor the nodes it answers may refuse them.
-func TestRanksNotSeenYetAreNotRefused(t *testing.T) {
+// A node that has seen only rank 0 knows nothing about lower ranks; neither
+// it nor the nodes it responds to may refuse them.
+func TestUnseenRanksAreNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A threshold that refuses nothing stays one when a lower rank comes", t, func() {
+		Convey("A threshold that refuses nothing stays so when a lower rank is seen", t, func() {
 			b, m := NewBoard(), NewMeter(60)
 			for range 100 {
 				m.Arrive(3, 5*time.Millisecond, 0)
@@ -163,14 +164,13 @@
 	})
 }
 
-// A read calls an approval lookup, which calls a dispatch lookup, which
-// fetches drafts: the bottleneck is three calls below. Each node passes on
-// the lowest threshold of what its routes call.
-func TestABottleneckBelowIsToldUpTheCalls(t *testing.T) {
+// The bottleneck is several calls downstream. Each node must report the
+// lowest threshold of the routes that its own routes call.
+func TestBottleneckThresholdPropagatesToCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBoard()
 		b.See(127)
-		Convey("The lowest threshold of the routes called counts", t, func() {
+		Convey("The lowest threshold of the callees is reported", t, func() {
 			b.Called("dispatch", "fetch")
 			b.Called("dispatch", "other")
 			b.Told("fetch", 33, "entwurf")
@@ -188,8 +188,8 @@
 	})
 }
 
-func TestLevelsFollowPriorityAndId(t *testing.T) {
-	Convey("Each priority has levels of its own, and an id always the same one", t, func() {
+func TestLevelDependsOnPriorityAndID(t *testing.T) {
+	Convey("Priorities have disjoint levels, and an ID maps to one level", t, func() {
 		for i := range 100 {
 			id := call.RequestID(fmt.Sprint(i))
 			So(LevelOf(1, id), ShouldBeBetweenOrEqual, Parts, 2*Parts-1)
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -6,77 +6,74 @@
 )
 
 const (
-	// patienceShare is the part of the time a new request can spare, beyond
-	// what its route usually takes, that it may wait for its turn; the rest
-	// stays for coming back.
-	patienceShare = 2
-	// patienceLeast is the part of its route's target latency that a new
-	// request may wait in any case: refusing on the first slot that is taken
-	// would refuse a tenth of the requests at four fifths of a target's load.
-	patienceLeast = 8
-	// usualShare is the part of the target latency that a route is taken to
-	// need until it is measured.
-	usualShare = 3
-	// comeBackLeast is the shortest time a caller is told to wait: shorter
-	// ones bring it back into the same moment of overload.
-	comeBackLeast = 60 * time.Millisecond
-	// comeBackMost is the longest: what is known of the load is no older
-	// than fractions of a second, so nothing is known of what comes later.
-	comeBackMost = 1500 * time.Millisecond
-	// comeBackShare is the part of the time a caller still waits after which
-	// it comes back at the latest, so that its next try has most of it.
-	comeBackShare = 3
+	// spareDivisor determines the fraction of a new request's spare time,
+	// beyond the typical latency of its route, that it may spend in the
+	// queue. The rest is left for a retry by the caller.
+	spareDivisor = 2
+	// minWaitDivisor determines the fraction of the target latency that a
+	// new request may always wait. Refusing whenever all slots are taken
+	// would refuse many requests at loads well below capacity.
+	minWaitDivisor = 8
+	// assumedLatencyDivisor determines the latency assumed for a route
+	// before one is measured, as a fraction of the target latency.
+	assumedLatencyDivisor = 3
+	// minRetryDelay is the lower bound of the retry delay; shorter delays
+	// would bring callers back during the same overload.
+	minRetryDelay = 60 * time.Millisecond
+	// maxRetryDelay is the upper bound of the retry delay.
+	maxRetryDelay = 1500 * time.Millisecond
+	// retryDelayDivisor bounds the retry delay to a fraction of the caller's
+	// remaining time, so that most of it is left for the next attempt.
+	retryDelayDivisor = 3
 )
 
 type (
-	// Wait decides a time by what is known of a request's: how long it may
-	// wait for its turn, or when a refused caller is to come back.
+	// Wait computes a duration from the timing of a request: how long it may
+	// wait in the queue, or after what delay a refused caller should retry.
 	Wait func(Times) time.Duration
 
-	// Times is what is known of a request's time.
+	// Times describes the timing of a request.
 	Times struct {
-		Left   time.Duration // how long its caller still waits
-		Target time.Duration // the latency its route aims at; 0 for none
-		Usual  time.Duration // what its route's requests usually take; 0 if not known
+		Left   time.Duration // time until the caller's deadline
+		Target time.Duration // target latency of the route; 0 for none
+		Usual  time.Duration // typical latency of the route; 0 if unknown
 	}
 )
 
-// AllItsTime lets a request wait as long as its caller does.
+// AllItsTime lets a request wait until its deadline. It is a Wait.
 func AllItsTime(t Times) time.Duration { return max(t.Left, 0) }
 
-// InASecond has every refused caller come back after the same time.
+// InASecond returns a fixed retry delay of one second. It is a Wait.
 func InASecond(Times) time.Duration { return time.Second }
 
-// Patience is how long a new request may wait for its turn. Once a queue
-// stands, waiting serves nobody more: as many are served in a second as
-// without it, each later by the queue. So a request waits as long as its
-// answer can still come within the route's target latency, and is refused at
-// once beyond that, while its caller has time to come back.
+// Patience returns how long a new request may wait in the queue. A standing
+// queue adds latency without adding throughput, so a request waits only as
+// long as its response can still meet the route's target latency, and is
+// otherwise refused while its caller has time to retry.
 func (t Times) Patience() time.Duration {
-	usual := t.usual()
-	spare := (t.Left - usual) / patienceShare
+	typical := t.typicalLatency()
+	wait := (t.Left - typical) / spareDivisor
 	if t.Target > 0 {
-		spare = min(spare, max(t.Target-usual, t.Target/patienceLeast))
+		wait = min(wait, max(t.Target-typical, t.Target/minWaitDivisor))
 	}
-	return max(spare, 0)
+	return max(wait, 0)
 }
 
-// ComeBack says when a refused caller's next try is worth most to it: late
-// enough that others have had their turn, early enough that the answer is
-// still within the route's target latency, and spread, so that those refused
-// together do not come back together.
+// ComeBack returns the delay after which a refused caller should retry:
+// early enough for the response to meet the route's target latency, and
+// randomized so that callers refused together do not retry together.
 func (t Times) ComeBack() time.Duration {
-	room := min(t.Target-t.usual(), t.Left/comeBackShare, comeBackMost)
-	room = max(room, comeBackLeast)
-	return room/2 + rand.N(room/2)
+	delay := min(t.Target-t.typicalLatency(), t.Left/retryDelayDivisor, maxRetryDelay)
+	delay = max(delay, minRetryDelay)
+	return delay/2 + rand.N(delay/2)
 }
 
-func (t Times) usual() time.Duration {
+func (t Times) typicalLatency() time.Duration {
 	switch {
 	case t.Usual > 0:
 		return t.Usual
 	case t.Target > 0:
-		return t.Target / usualShare
+		return t.Target / assumedLatencyDivisor
 	}
-	return t.Left / usualShare
+	return t.Left / assumedLatencyDivisor
 }
