--- a/slots/doc.go
+++ b/slots/doc.go
@@ -1,4 +1,4 @@
-// Package slots decides which requests a target works on: at most its slots
-// at once, the others waiting in the order of their rank or refused when
-// they cannot be done in time. It needs no network.
+// Package slots limits the number of requests that a target processes
+// concurrently. Excess requests are queued by rank, or refused if they would
+// miss their deadline. It needs no network.
 package slots
--- a/slots/gate.go
+++ b/slots/gate.go
@@ -10,195 +10,200 @@
 )
 
 const (
-	// smoothing is the weight of the newest service time in the mean: some
-	// thirty requests, a fraction of a second at a busy target, so that a
-	// target that turns slow shows within a second.
+	// smoothing is the weight of the newest sample in mean service times,
+	// high enough for a slowdown to show within a second at a busy target.
 	smoothing = 1.0 / 32
-	// firstService is taken as the mean service time until one is measured:
-	// the middle of the services described to us (15 to 290 ms).
-	firstService = 50 * time.Millisecond
+	// initialServiceTime is the mean service time assumed until one is
+	// measured.
+	initialServiceTime = 50 * time.Millisecond
 )
 
 var (
-	// ErrTooLate is returned to a request that could not be done within its
-	// deadline.
+	// ErrTooLate is returned for a request that would miss its deadline, or
+	// that exceeded its patience in the queue.
 	ErrTooLate = eris.New("would not be done in time")
-	// ErrLeaving is returned when the target takes no new requests.
+	// ErrLeaving is returned while the gate is closed because the target
+	// accepts no new requests.
 	ErrLeaving = eris.New("target is leaving")
 )
 
 type (
-	// Ticket is what decides a request's place.
+	// Ticket holds what determines a request's position in the queue.
 	Ticket struct {
 		Level    call.Level
 		Deadline time.Time
-		// Patience is how long it may wait at most; 0 for its deadline.
+		// Patience is the longest time to wait in the queue; 0 means until
+		// Deadline.
 		Patience time.Duration
 	}
 
-	// Gate lets at most Limit requests at a time through to a target. A
-	// target that is handed more than its slots may never answer what it
-	// cannot queue; what waits here can still be refused as not run.
+	// Gate limits the number of requests that are at a target concurrently
+	// and queues the rest. A queued request can still be refused as not run,
+	// whereas one sent to an overloaded target may remain unanswered. It is
+	// safe for concurrent use.
 	Gate struct {
 		order Order
 
-		mu      sync.Mutex
-		limit   int
-		busy    int
-		mean    time.Duration // service time
-		waiting Levels[*waiter]
-		closed  bool
+		mu              sync.Mutex
+		limit           int
+		busy            int
+		meanServiceTime time.Duration
+		queue           Levels[*waiter]
+		closed          bool
 	}
 
 	waiter struct {
-		t     Ticket
-		since time.Time
-		ready chan error // of one: nil when admitted
+		ticket   Ticket
+		enqueued time.Time
+		result   chan error // buffered; receives nil when admitted
 	}
 )
 
-// NewGate returns a Gate for a target that works on limit requests at once.
+// NewGate returns a Gate for a target that processes limit requests
+// concurrently.
 func NewGate(limit int, order Order) *Gate {
-	return &Gate{order: order, limit: max(limit, 1), mean: firstService}
+	return &Gate{order: order, limit: max(limit, 1), meanServiceTime: initialServiceTime}
 }
 
-// SetLimit changes how many requests may be at the target.
+// SetLimit changes the number of requests allowed at the target. Requests
+// already there are not affected.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(limit, 1)
-	g.letIn()
+	g.admitWaiting()
 }
 
-// Enter waits until the request may go to the target, and returns how long
-// it waited. The error is ErrTooLate or ErrLeaving, or ctx's; after none,
-// Leave must be called.
+// Enter waits until the request may be sent to the target and returns the
+// time spent in the queue. The error is ErrTooLate, ErrLeaving or that of
+// ctx. If it is nil, the caller must call Leave.
 func (g *Gate) Enter(ctx context.Context, t Ticket) (time.Duration, error) {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
 		return 0, ErrLeaving
 	}
-	if g.busy < g.limit && g.waiting.Len() == 0 {
+	if g.busy < g.limit && g.queue.Len() == 0 {
 		g.busy++
 		g.mu.Unlock()
 		return 0, nil
 	}
 	now := time.Now()
 	expected := g.expectedWait(t)
-	if now.Add(expected+g.mean).After(t.Deadline) || (t.Patience > 0 && expected > t.Patience) {
+	if now.Add(expected+g.meanServiceTime).After(t.Deadline) || (t.Patience > 0 && expected > t.Patience) {
 		g.mu.Unlock()
 		return 0, ErrTooLate
 	}
-	w := &waiter{t: t, since: now, ready: make(chan error, 1)}
-	g.waiting.Push(g.order.place(t), w)
+	w := &waiter{ticket: t, enqueued: now, result: make(chan error, 1)}
+	g.queue.Push(g.order.queueLevel(t), w)
 	g.mu.Unlock()
 	return g.wait(ctx, w)
 }
 
 func (g *Gate) wait(ctx context.Context, w *waiter) (time.Duration, error) {
-	until := time.Until(w.t.Deadline)
-	if w.t.Patience > 0 {
-		// Calls that come later go before a new request, so its wait can be
-		// longer than foreseen.
-		until = min(until, w.t.Patience)
+	timeout := time.Until(w.ticket.Deadline)
+	if w.ticket.Patience > 0 {
+		// Requests of lower levels that arrive later are served first, so
+		// the wait can exceed expectedWait.
+		timeout = min(timeout, w.ticket.Patience)
 	}
-	late := time.NewTimer(until)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	var err error
 	select {
-	case err = <-w.ready:
-		return time.Since(w.since), err
+	case err = <-w.result:
+		return time.Since(w.enqueued), err
 	case <-ctx.Done():
 		err = ctx.Err()
-	case <-late.C:
+	case <-timer.C:
 		err = ErrTooLate
 	}
-	if g.forget(w) {
-		return time.Since(w.since), err
+	if g.removeWaiter(w) {
+		return time.Since(w.enqueued), err
 	}
-	// Admitted or refused in the same moment.
-	if got := <-w.ready; got == nil {
+	// The request was admitted or refused concurrently.
+	if got := <-w.result; got == nil {
 		g.Leave(0)
 	}
-	return time.Since(w.since), err
+	return time.Since(w.enqueued), err
 }
 
-// forget takes w out of the queue and reports whether it was still there.
-func (g *Gate) forget(w *waiter) bool {
+// removeWaiter removes w from the queue and reports whether it was queued.
+func (g *Gate) removeWaiter(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	found := false
-	g.waiting.Remove(g.order.place(w.t), func(o *waiter) bool {
+	g.queue.Remove(g.order.queueLevel(w.ticket), func(o *waiter) bool {
 		found = found || o == w
 		return o == w
 	})
 	return found
 }
 
-// Leave gives a place back; took is how long the target had the request, or
-// zero when that says nothing of its speed.
+// Leave frees the slot of a request. took is the time it spent at the
+// target, or zero to leave the mean service time unchanged.
 func (g *Gate) Leave(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.busy--
 	if took > 0 {
-		g.mean += time.Duration(float64(took-g.mean) * smoothing)
+		g.meanServiceTime += time.Duration(float64(took-g.meanServiceTime) * smoothing)
 	}
-	g.letIn()
+	g.admitWaiting()
 }
 
-// Close refuses all that waits and whatever comes later.
+// Close refuses all queued and all new requests with ErrLeaving until Open.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = true
-	for w, ok := g.waiting.Pop(); ok; w, ok = g.waiting.Pop() {
-		w.ready <- ErrLeaving
+	for w, ok := g.queue.Pop(); ok; w, ok = g.queue.Pop() {
+		w.result <- ErrLeaving
 	}
 }
 
-// Open takes requests again after Close.
+// Open admits requests again after Close.
 func (g *Gate) Open() {
 	g.mu.Lock()
 	g.closed = false
 	g.mu.Unlock()
 }
 
-// Load returns how busy the target is.
+// Load returns the number of requests at the target and in the queue, and
+// the limit.
 func (g *Gate) Load() call.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return call.Load{Busy: g.busy, Queued: g.waiting.Len(), Limit: g.limit}
+	return call.Load{Busy: g.busy, Queued: g.queue.Len(), Limit: g.limit}
 }
 
-// Waiting returns the slot time that the waiting requests will take.
+// Waiting returns the slot time expected for the queued requests.
 func (g *Gate) Waiting() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(g.waiting.Len()) * g.mean
+	return time.Duration(g.queue.Len()) * g.meanServiceTime
 }
 
-// letIn lets waiting requests in while there is room. One that cannot be
-// done in time any more is refused: the target would work for nobody.
-func (g *Gate) letIn() {
+// admitWaiting admits queued requests while there are free slots. It refuses
+// those that would miss their deadline, whose result nobody would receive.
+func (g *Gate) admitWaiting() {
 	for g.busy < g.limit {
-		w, ok := g.waiting.Pop()
+		w, ok := g.queue.Pop()
 		if !ok {
 			return
 		}
-		if time.Now().Add(g.mean / 2).After(w.t.Deadline) {
-			w.ready <- ErrTooLate
+		if time.Now().Add(g.meanServiceTime / 2).After(w.ticket.Deadline) {
+			w.result <- ErrTooLate
 			continue
 		}
 		g.busy++
-		w.ready <- nil
+		w.result <- nil
 	}
 }
 
-// expectedWait is how long a new request would wait: all that comes before
-// it, served by all slots at the mean service time.
+// expectedWait estimates the queueing time of a new request from the number
+// of requests ahead of it and the mean service time.
 func (g *Gate) expectedWait(t Ticket) time.Duration {
-	ahead := g.waiting.Ahead(g.order.place(t)) + 1
-	return time.Duration(ahead) * g.mean / time.Duration(g.limit)
+	ahead := g.queue.Ahead(g.order.queueLevel(t)) + 1
+	return time.Duration(ahead) * g.meanServiceTime / time.Duration(g.limit)
 }
--- a/slots/gate_test.go
+++ b/slots/gate_test.go
@@ -18,8 +18,8 @@
 	return Ticket{Level: admit.LevelOf(priority, "x"), Deadline: time.Now().Add(left)}
 }
 
-// enter sends a request to g on a goroutine of its own; what it ended with
-// comes on the channel.
+// enter calls g.Enter on a new goroutine and returns a channel for its
+// error.
 func enter(ctx context.Context, g *Gate, t Ticket) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -30,13 +30,11 @@
 	return done
 }
 
-// Reads call on the ranking service five times each, and in a surge their
-// calls wait there at all times. Members who ask for their ranking, whose
-// answer needs one turn of 36 ms, are then refused although every one of them
-// could be served: the calls of the reads always went first.
-func TestRequestsOfAHigherRankDoNotWaitForCallsOfALowerOne(t *testing.T) {
+// Guards against starvation of a high rank by calls of a lower rank that
+// keep the queue full.
+func TestHigherRankIsServedBeforeLowerRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("The order is by rank, then by part, then by arrival", t, func() {
+		Convey("The order is by rank, then by level within the rank, then by arrival", t, func() {
 			g := NewGate(1, Usual())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
@@ -57,12 +55,11 @@
 	})
 }
 
-// While the ranking service is full of calls of reads, a ranking view with
-// 150 ms to wait comes. It is told how long the requests of its own rank and
-// above will take, not how long all that waits will.
-func TestTheWaitForeseenCountsOnlyWhatGoesBefore(t *testing.T) {
+// Requests of lower ranks in the queue must not make the expected wait
+// exceed a request's patience.
+func TestExpectedWaitIgnoresLowerRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A hundred waiting calls of reads do not refuse it", t, func() {
+		Convey("A hundred queued calls of a lower rank do not cause a refusal", t, func() {
 			g := NewGate(2, Usual())
 			ctx := context.Background()
 			for range 2 {
@@ -71,48 +68,47 @@
 			for range 100 {
 				enter(ctx, g, ticket(2, time.Minute))
 			}
-			tk := ticket(1, 3*firstService)
-			tk.Patience = firstService
+			tk := ticket(1, 3*initialServiceTime)
+			tk.Patience = initialServiceTime
 			view := enter(ctx, g, tk)
-			g.Leave(firstService)
+			g.Leave(initialServiceTime)
 			So(<-view, ShouldBeNil)
 			g.Close()
 		})
 	})
 }
 
-// A target that is handed more than its slots never answers what it cannot
-// queue. What waits at its node must be refused in time to be tried
-// elsewhere, and at once when it cannot be done at all.
-func TestRequestsThatCannotBeDoneInTimeAreRefused(t *testing.T) {
+// Queued requests must be refused early enough to be tried elsewhere, and at
+// once if the expected wait exceeds the deadline.
+func TestRequestsThatWouldMissTheirDeadlineAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("At once when the wait is foreseen, at its deadline otherwise", t, func() {
+		Convey("At once if the expected wait is too long, at the deadline otherwise", t, func() {
 			g := NewGate(1, Usual())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
-			So(errors.Is(<-enter(ctx, g, ticket(0, firstService)), ErrTooLate), ShouldBeTrue)
+			So(errors.Is(<-enter(ctx, g, ticket(0, initialServiceTime)), ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 0)
-			late := enter(ctx, g, ticket(0, 3*firstService))
+			late := enter(ctx, g, ticket(0, 3*initialServiceTime))
 			So(errors.Is(<-late, ErrTooLate), ShouldBeTrue)
-			So(time.Since(began), ShouldEqual, 3*firstService)
+			So(time.Since(began), ShouldEqual, 3*initialServiceTime)
 			So(g.Load().Queued, ShouldEqual, 0)
 		})
-		Convey("A new request is refused when its patience ends, long before its deadline", t, func() {
+		Convey("A request is refused when its patience ends, before its deadline", t, func() {
 			g := NewGate(1, Usual())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
 			tk := ticket(0, time.Minute)
-			tk.Patience = 2 * firstService
+			tk.Patience = 2 * initialServiceTime
 			waiting := enter(ctx, g, tk)
 			So(errors.Is(<-waiting, ErrTooLate), ShouldBeTrue)
-			So(time.Since(began), ShouldEqual, 2*firstService)
-			tk.Patience = firstService / 2
+			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
+			tk.Patience = initialServiceTime / 2
 			So(errors.Is(<-enter(ctx, g, tk), ErrTooLate), ShouldBeTrue)
-			So(time.Since(began), ShouldEqual, 2*firstService)
+			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
 		})
-		Convey("A caller that leaves gives its place in the queue up", t, func() {
+		Convey("Cancelling a queued request removes it from the queue", t, func() {
 			g := NewGate(1, Usual())
 			ctx, cancel := context.WithCancel(context.Background())
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
@@ -121,7 +117,7 @@
 			So(errors.Is(<-gone, context.Canceled), ShouldBeTrue)
 			So(g.Load().Queued, ShouldEqual, 0)
 		})
-		Convey("A leaving target refuses all that waits at once", t, func() {
+		Convey("Close refuses all queued requests at once", t, func() {
 			g := NewGate(1, Usual())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
@@ -136,14 +132,14 @@
 	})
 }
 
-// A random history of requests that come, end, leave and are given up, of
-// changed limits and closings. At no time may more be at the target than its
-// limit, and every request must end as admitted or refused, once.
-func TestGateKeepsItsLimit(t *testing.T) {
+// Runs random sequences of arrivals, completions, cancellations, limit
+// changes and closings. Concurrency must never exceed the limit, and each
+// request must be admitted or refused exactly once.
+func TestGateNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			g := NewGate(3, Usual())
-			limit, over := 3, 0 // over: still in from before the limit was lowered
+			limit, over := 3, 0 // over: admitted before the limit was lowered
 			var waiting []<-chan error
 			var cancels []context.CancelFunc
 			in := 0
@@ -162,7 +158,7 @@
 				}
 				waiting = still
 				if in > max(limit, over) {
-					rt.Fatalf("%d at the target, limit %d", in, limit)
+					rt.Fatalf("%d requests at the target, limit %d", in, limit)
 				}
 			}
 			rt.Repeat(map[string]func(*rapid.T){
@@ -176,7 +172,7 @@
 				},
 				"end": func(rt *rapid.T) {
 					if in == 0 {
-						rt.Skip("nothing at the target")
+						rt.Skip("no request at the target")
 					}
 					in--
 					g.Leave(time.Duration(rapid.IntRange(0, 100).Draw(rt, "took")) * time.Millisecond)
@@ -184,7 +180,7 @@
 				},
 				"leave": func(rt *rapid.T) {
 					if len(cancels) == 0 {
-						rt.Skip("nobody there")
+						rt.Skip("no request to cancel")
 					}
 					cancels[rapid.IntRange(0, len(cancels)-1).Draw(rt, "who")]()
 					collect()
@@ -200,7 +196,7 @@
 				"open":  func(*rapid.T) { g.Open(); collect() },
 				"": func(rt *rapid.T) {
 					if l := g.Load(); l.Busy != in || l.Queued != len(waiting) {
-						rt.Fatalf("gate says %d in and %d waiting, there are %d and %d", l.Busy, l.Queued, in, len(waiting))
+						rt.Fatalf("gate reports %d busy and %d queued, want %d and %d", l.Busy, l.Queued, in, len(waiting))
 					}
 				},
 			})
@@ -215,7 +211,7 @@
 	})
 }
 
-// BenchmarkGate measures a request through a gate with room.
+// BenchmarkGate measures a request through a gate with free slots.
 func BenchmarkGate(b *testing.B) {
 	g := NewGate(100, Usual())
 	t := Ticket{Level: call.Level(3), Deadline: time.Now().Add(time.Hour)}
@@ -228,8 +224,8 @@
 	}
 }
 
-// BenchmarkEnterWaiting measures a request's way through a full gate in which
-// a hundred others wait.
+// BenchmarkEnterWaiting measures a request through a full gate with a
+// hundred queued requests.
 func BenchmarkEnterWaiting(b *testing.B) {
 	g := NewGate(1, Usual())
 	ctx := context.Background()
--- a/slots/single_test.go
+++ b/slots/mixed_load_test.go
@@ -13,16 +13,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A hundred staff a second read the day's schedule, each read with eight calls
-// to the service that also releases rooms; twenty a second release a room, one
-// request without calls. Reads alone would fill the target one and a half
-// times over. Calls of running reads always wait there, and releases, being
-// new, come after all of them: four in five are refused, though one takes a
-// third of the slot time of a read.
-func TestRequestsWithoutCallsAreServedBesideChains(t *testing.T) {
+// Reads with eight calls each would fill the target one and a half times
+// over. Guards against refusing most of the releases, which need no calls,
+// because calls of running reads always wait in the queue ahead of new
+// requests.
+func TestSingleRequestsAreServedBesideCallChains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// 15 slots; a read takes 8 x 30 ms of them, a release 90 ms: 24 slots
-		// of reads and 1.8 of releases are asked for.
+		// There are 15 slots. A read takes 8 x 30 ms of slot time, a release
+		// 90 ms, so reads demand 24 slots and releases 1.8.
 		const reads, releases, seconds = 100, 20, 10
 		g := NewGate(15, Usual())
 		var read, released atomic.Int64
@@ -32,9 +30,9 @@
 				time.Sleep(time.Second / time.Duration(perSecond))
 			}
 		}
-		view := chain{calls: 8, work: 30 * time.Millisecond, callTime: 300 * time.Millisecond, time: 800 * time.Millisecond}
+		view := callChain{calls: 8, serviceTime: 30 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: 800 * time.Millisecond}
 		go offer(reads, func(id call.RequestID) {
-			if view.one(g, id) {
+			if view.runOne(g, id) {
 				read.Add(1)
 			}
 		})
@@ -49,7 +47,7 @@
 			released.Add(1)
 		})
 		time.Sleep(2 * time.Second)
-		Convey("Half of the releases at least are done, and reads fill the rest", t, func() {
+		Convey("At least half of the releases complete, and reads use the remaining capacity", t, func() {
 			So(released.Load(), ShouldBeGreaterThan, releases*seconds/2)
 			So(read.Load(), ShouldBeGreaterThan, reads*seconds*4/10)
 		})
--- a/slots/order.go
+++ b/slots/order.go
@@ -2,26 +2,23 @@
 
 import "github.com/oatpin/oatpin/admit"
 
-// Order is what decides who waits for whom at a full target: always the rank,
-// so that an approval never waits for reads, and then what is switched on.
-// The zero value is by rank and arrival.
+// Order determines the queueing order of requests. Rank always comes first.
+// The zero value orders by rank and arrival.
 type Order struct {
-	// Parts orders what has the same rank by the part drawn from the request.
-	// A request that makes ten calls waits in the queue ten times. In order
-	// of arrival all wait the same, and in a surge none gets its last call
-	// done in time: the target is busy and nothing is finished. All of a
-	// request's calls have the same part at every target, so those of the
-	// lowest parts pass everywhere without waiting and are finished, and the
-	// others end early. Whether a request is new or a call of one that runs
-	// makes no difference then: what runs with a high part ends all the same.
+	// Parts orders requests of the same rank by their level within it. All
+	// calls of a request share one level at every target, so under overload
+	// the requests of low levels complete all of their calls while the
+	// others are refused early. In order of arrival, every call of every
+	// request would wait, and few requests would complete.
 	Parts bool
 }
 
-// Usual is the order that is measured to serve best.
+// Usual returns the default order.
 func Usual() Order { return Order{Parts: true} }
 
-// place is a ticket's level in the queue; the lowest comes first.
-func (o Order) place(t Ticket) int {
+// queueLevel returns the queue level of a ticket; lower levels are served
+// first.
+func (o Order) queueLevel(t Ticket) int {
 	l := admit.RankOf(t.Level) * admit.Parts
 	if o.Parts {
 		l += admit.PartOf(t.Level)
--- a/slots/levels.go
+++ b/slots/queue.go
@@ -1,13 +1,14 @@
 package slots
 
-// Levels is a queue of queues: Pop takes the oldest entry of the lowest
-// level that has one. The zero value is empty and ready.
+// Levels is a priority queue: Pop returns the oldest entry of the lowest
+// non-empty level. The zero value is an empty queue. It is not safe for
+// concurrent use.
 type Levels[T any] struct {
 	queues [][]T
 	n      int
 }
 
-// Push adds an entry at a level (0 or more).
+// Push adds an entry at a level, which must not be negative.
 func (l *Levels[T]) Push(level int, v T) {
 	for len(l.queues) <= level {
 		l.queues = append(l.queues, nil)
@@ -16,7 +17,7 @@
 	l.n++
 }
 
-// Pop takes the next entry out; ok is false when there is none.
+// Pop removes and returns the next entry; ok is false if the queue is empty.
 func (l *Levels[T]) Pop() (v T, ok bool) {
 	for i, q := range l.queues {
 		if len(q) == 0 {
@@ -32,7 +33,7 @@
 	return v, false
 }
 
-// Remove takes out the entries of a level for which drop is true.
+// Remove removes the entries of a level for which drop returns true.
 func (l *Levels[T]) Remove(level int, drop func(T) bool) {
 	if level >= len(l.queues) {
 		return
@@ -48,7 +49,8 @@
 	l.queues[level] = kept
 }
 
-// Ahead returns how many entries come before a new one at a level.
+// Ahead returns the number of entries that are popped before a new one at a
+// level.
 func (l *Levels[T]) Ahead(level int) int {
 	n := 0
 	for i := 0; i <= level && i < len(l.queues); i++ {
@@ -57,5 +59,5 @@
 	return n
 }
 
-// Len returns how many entries wait.
+// Len returns the number of entries.
 func (l *Levels[T]) Len() int { return l.n }
--- a/slots/work.go
+++ b/slots/service_time.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Work keeps the mean time that requests take, by kind of request. It is
-// safe for concurrent use.
+// Work keeps the mean service time by kind of request. It is safe for
+// concurrent use.
 type Work struct {
 	mu   sync.Mutex
 	mean map[string]time.Duration
 }
 
-// NewWork returns a Work that knows no kind yet.
+// NewWork returns a Work without any samples.
 func NewWork() *Work { return &Work{mean: map[string]time.Duration{}} }
 
-// Took notes how long one request took.
+// Took records the service time of one request.
 func (w *Work) Took(kind string, d time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -26,7 +26,8 @@
 	w.mean[kind] = m + time.Duration(float64(d-m)*smoothing)
 }
 
-// Mean returns the mean time of a kind, or otherwise when it is not known.
+// Mean returns the mean service time of a kind, or the given default if it
+// is unknown.
 func (w *Work) Mean(kind string, otherwise time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/slots/pace_test.go
+++ b/slots/slowdown_test.go
@@ -10,9 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// work keeps slots requests at a target for a time, each of which takes about
-// mean; slow is how many times longer.
-func work(p *Pace, slots int, mean, d time.Duration, slow float64) {
+// runLoad keeps a number of requests in flight for the duration d. Their
+// service times have the given mean, multiplied by slow.
+func runLoad(p *Pace, slots int, mean, d time.Duration, slow float64) {
 	type job struct {
 		r   *Run
 		end time.Time
@@ -30,8 +30,7 @@
 		}
 		jobs = kept
 		for len(jobs) < slots {
-			// Log-normal with a spread of a half, as calls of the services
-			// described to us.
+			// Log-normal with a standard deviation of about half the mean.
 			took := float64(mean) * slow * math.Exp(0.47*rng.NormFloat64()-0.11)
 			jobs = append(jobs, job{p.Begin("fetch"), time.Now().Add(time.Duration(took))})
 		}
@@ -41,38 +40,36 @@
 	}
 }
 
-// Two of five instances turn twelve times slower, from one moment to the next.
-// A fetch of 140 ms takes 1.7 s there and has 0.7 s. Nothing completes for
-// more than a second, so a mean of what completes says that all is well, and
-// every fetch that comes is lost with the chain above it. Their nodes know
-// within half a second.
-func TestATargetThatTurnsSlowIsKnownBeforeItCompletesAnything(t *testing.T) {
+// A target that suddenly slows down by a factor of twelve completes nothing
+// for more than a second. The slowdown must be detected within half a
+// second, or requests sent to it meanwhile time out.
+func TestSlowdownIsDetectedBeforeAnyCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPace()
-		work(p, 20, 140*time.Millisecond, 5*time.Second, 1)
-		Convey("Half a second after", t, func() {
+		runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
+		Convey("The slowdown is detected within half a second", t, func() {
 			So(p.Needs("fetch"), ShouldBeLessThan, 200*time.Millisecond)
-			go work(p, 20, 140*time.Millisecond, 2*time.Second, 12)
+			go runLoad(p, 20, 140*time.Millisecond, 2*time.Second, 12)
 			time.Sleep(500 * time.Millisecond)
 			So(p.Slow(), ShouldBeGreaterThan, 3)
 			So(p.Needs("fetch"), ShouldBeGreaterThan, 600*time.Millisecond)
 			time.Sleep(3 * time.Second)
-			Convey("And nothing is left of it once it is as before", func() {
-				work(p, 20, 140*time.Millisecond, 5*time.Second, 1)
+			Convey("The estimate returns to normal after recovery", func() {
+				runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
 				So(p.Needs("fetch"), ShouldBeLessThan, 200*time.Millisecond)
 			})
 		})
 	})
 }
 
-// A target is as it always is, with one request or sixty. Requests differ by
-// chance; sending them elsewhere for that would move work about for nothing.
-func TestATargetThatIsAsUsualIsNotCalledSlow(t *testing.T) {
+// Random variation of service times must not be reported as a slowdown,
+// which would move load to other instances.
+func TestNoSlowdownReportedAtNormalSpeed(t *testing.T) {
 	for _, slots := range []int{1, 4, 60} {
 		synctest.Test(t, func(t *testing.T) {
 			p := NewPace()
-			work(p, slots, 140*time.Millisecond, 20*time.Second, 1)
-			go work(p, slots, 140*time.Millisecond, 60*time.Second, 1)
+			runLoad(p, slots, 140*time.Millisecond, 20*time.Second, 1)
+			go runLoad(p, slots, 140*time.Millisecond, 60*time.Second, 1)
 			slow := 0
 			const looks = 1000
 			for range looks {
@@ -81,7 +78,7 @@
 					slow++
 				}
 			}
-			Convey("In 99 of 100 looks", t, func() {
+			Convey("At most 1 in 100 samples reports a slowdown", t, func() {
 				So(slow, ShouldBeLessThanOrEqualTo, looks/100)
 			})
 			time.Sleep(time.Minute)
@@ -89,9 +86,8 @@
 	}
 }
 
-// A read waits two seconds for its calls, which some service below is slow to
-// answer. The target that runs the read is as fast as ever.
-func TestWaitingForCallsIsNotSlowness(t *testing.T) {
+// A slow downstream service must not make the calling target look slow.
+func TestTimeInOutboundCallsIsNotSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := NewPace()
 		for range 40 {
@@ -102,7 +98,7 @@
 			r.Return()
 			r.End(true)
 		}
-		Convey("Its own time counts", t, func() {
+		Convey("Only time outside of outbound calls counts", t, func() {
 			var rs []*Run
 			for range 20 {
 				r := p.Begin("read")
@@ -121,7 +117,8 @@
 	})
 }
 
-// BenchmarkPace measures what one request costs, beside sixty others.
+// BenchmarkPace measures the overhead per request with sixty others in
+// flight.
 func BenchmarkPace(b *testing.B) {
 	p := NewPace()
 	for range 60 {
--- a/slots/surge_test.go
+++ b/slots/surge_test.go
@@ -13,24 +13,24 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// chain is a load of requests that each make calls to one target, one after
-// the other, and are of use only when all of them are done in time.
-type chain struct {
-	perSecond int
-	calls     int
-	work      time.Duration // of a call
-	callTime  time.Duration // within which each call is to be done
-	time      time.Duration // within which the request is to be done
+// callChain is a load of requests that each make sequential calls to one
+// target and succeed only if all of them complete in time.
+type callChain struct {
+	perSecond   int
+	calls       int
+	serviceTime time.Duration // per call
+	callTimeout time.Duration // per call
+	timeout     time.Duration // per request
 }
 
-// run offers the load to a gate for a time and returns how many requests were
-// finished.
-func (c chain) run(g *Gate, d time.Duration) (finished int) {
+// run offers the load to a gate for the duration d and returns the number of
+// requests that completed.
+func (c callChain) run(g *Gate, d time.Duration) (finished int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range int(d.Seconds() * float64(c.perSecond)) {
 		wg.Go(func() {
-			if c.one(g, call.RequestID(strconv.Itoa(i))) {
+			if c.runOne(g, call.RequestID(strconv.Itoa(i))) {
 				mu.Lock()
 				finished++
 				mu.Unlock()
@@ -42,36 +42,34 @@
 	return finished
 }
 
-func (c chain) one(g *Gate, id call.RequestID) bool {
-	end := time.Now().Add(c.time)
+func (c callChain) runOne(g *Gate, id call.RequestID) bool {
+	end := time.Now().Add(c.timeout)
 	for range c.calls {
-		by := time.Now().Add(c.callTime)
+		by := time.Now().Add(c.callTimeout)
 		if by.After(end) {
 			by = end
 		}
 		if _, err := g.Enter(context.Background(), Ticket{Level: admit.LevelOf(2, id), Deadline: by}); err != nil {
 			return false
 		}
-		time.Sleep(c.work)
-		g.Leave(c.work)
+		time.Sleep(c.serviceTime)
+		g.Leave(c.serviceTime)
 	}
 	return time.Now().Before(end)
 }
 
-// After a loss of power every instance starts cold and all cache pages come
-// at once, each with five calls to the ranking service one after the other.
-// Members wait two seconds for pages that fail in the end: with twice the
-// calls that the target can do, each call waits its turn, and nobody has all
-// five done in time.
-func TestASurgeOfChainsFinishesWhatTheTargetCanDo(t *testing.T) {
+// At twice the capacity, guards against congestion collapse: if every call
+// waits its turn, hardly any request completes all of its calls in time.
+func TestSurgeOfCallChainsKeepsThroughput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("At twice the load, nine tenths of what the target can do is finished", t, func() {
-			// 10 slots and 20 ms a call are 500 calls, so 100 requests, a second.
-			c := chain{perSecond: 200, calls: 5, work: 20 * time.Millisecond, callTime: 300 * time.Millisecond, time: time.Second}
+		Convey("At twice the capacity, throughput is at least nine tenths of capacity", t, func() {
+			// 10 slots at 20 ms per call are 500 calls or 100 requests per
+			// second.
+			c := callChain{perSecond: 200, calls: 5, serviceTime: 20 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: time.Second}
 			So(c.run(NewGate(10, Usual()), 10*time.Second), ShouldBeGreaterThan, 900)
 		})
-		Convey("Within what it can do, everything is", t, func() {
-			c := chain{perSecond: 80, calls: 5, work: 20 * time.Millisecond, callTime: 300 * time.Millisecond, time: time.Second}
+		Convey("Below capacity, every request completes", t, func() {
+			c := callChain{perSecond: 80, calls: 5, serviceTime: 20 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: time.Second}
 			So(c.run(NewGate(10, Usual()), 10*time.Second), ShouldEqual, 800)
 		})
 	})
