--- a/balance/balance.go
+++ b/balance/balance.go
@@ -11,146 +11,157 @@
 )
 
 const (
-	// farCost is what an instance in another data centre costs, in parts of
-	// its slots in use: bytes between data centres are dear, so the near one
-	// is filled first, but not to the brim, where requests begin to wait.
-	farCost = 0.35
-	// failCost is what an instance costs whose answers all fail. Half of its
-	// requests failing outweighs a free neighbour elsewhere.
-	failCost = 3.0
-	// slowCost is what an instance costs per time that it is slower than the
-	// mean; slowMost bounds it. Instances of a service differ by two to three
-	// times in health. More than this would leave the slow ones half empty
-	// while requests wait at the fast ones.
-	slowCost = 0.2
-	slowMost = 2.0
-	// tightCost is the same for an action, for each part of its time that it
-	// usually takes: one that runs out of time cannot be made elsewhere. An
-	// approval that takes a third of its time goes to another data centre
-	// when it takes two fifths longer than usual here.
-	tightCost = 3.0
-	// exploreOne of so many actions goes to any sound instance instead of the
-	// best: speed is known by comparison only, and a node whose own data
-	// centre has one slow instance would never see another.
-	exploreOne = 32
-	// sound is the part that may fail at an instance to be explored.
-	sound = 0.05
-	// roomy is the part of its slots that may be in use there.
-	roomy = 0.8
-	// exploreFirst puts an instance to be explored before all others.
-	exploreFirst = 10.0
-	// slowForget is the time after which what is known of an instance's
-	// speed counts half, when nothing new is heard.
-	slowForget = 4 * time.Second
-	// routeForget is the same for its speed on one route, of which a node
-	// hears every few seconds, when it explores.
-	routeForget = 20 * time.Second
-	// jitter spreads the choices of nodes that know the same.
+	// remoteDCCost is the cost of an instance in another data centre, as a
+	// fraction of its slots in use. Traffic between data centres is
+	// expensive, so local instances are filled first, but not to the point
+	// where requests queue.
+	remoteDCCost = 0.35
+	// failureCost is the cost of an instance whose requests all fail. At a
+	// failure rate of one half it outweighs an idle instance in another data
+	// centre.
+	failureCost = 3.0
+	// slowdownCost is the cost of an instance per unit of relative latency
+	// above the mean, bounded by maxSlowdownCost. Instances of a service
+	// commonly differ by a factor of two to three; a higher cost would leave
+	// the slow ones idle while requests queue at the fast ones.
+	slowdownCost    = 0.2
+	maxSlowdownCost = 2.0
+	// deadlineRiskCost is the additional cost of a slow instance for an
+	// action, multiplied by the fraction of the action's time limit that its
+	// route usually takes. An action that times out cannot be retried
+	// elsewhere.
+	deadlineRiskCost = 3.0
+	// exploreOneIn is the reciprocal of the fraction of actions that are
+	// sent to any healthy instance instead of the best one. Latency is only
+	// known relative to other instances, so a node whose local instance is
+	// slow must also try others.
+	exploreOneIn = 32
+	// maxExploreFailureRate is the highest failure rate at which an instance
+	// is explored.
+	maxExploreFailureRate = 0.05
+	// maxExploreUtilization is the highest utilization at which an instance
+	// is explored.
+	maxExploreUtilization = 0.8
+	// exploreDiscount is subtracted from the cost of explored instances, so
+	// that they come before all others.
+	exploreDiscount = 10.0
+	// slowdownHalfLife is the time after which an instance's relative
+	// latency counts half if no new request updates it.
+	slowdownHalfLife = 4 * time.Second
+	// routeSlowdownHalfLife is the same for the relative latency on a single
+	// route, which is updated less often.
+	routeSlowdownHalfLife = 20 * time.Second
+	// jitter is the range of the random cost that makes nodes with the same
+	// data choose differently.
 	jitter = 0.08
-	// usualSmoothing is the same for a route's usual time, which is to be
-	// steadier than any instance's.
-	usualSmoothing = 1.0 / 128
-	// ratioMost bounds one request's part in an instance's mean: one in a
-	// hundred takes five times as long by itself.
-	ratioMost = 6.0
-	// coldFactor is how much fuller a cold instance counts: it takes twice
-	// as long for the same work.
+	// routeMeanSmoothing is the weight of the newest request in the mean
+	// latency of a route, which should vary less than that of any instance.
+	routeMeanSmoothing = 1.0 / 128
+	// maxRatio bounds the relative latency of a single request, to limit the
+	// effect of outliers.
+	maxRatio = 6.0
+	// coldFactor multiplies the utilization of an instance that is still
+	// warming up and takes longer for the same work.
 	coldFactor = 2.0
-	// unreachablePause keeps requests from an instance whose node could not
-	// be reached; the next one after it shows whether it is back.
-	unreachablePause = time.Second
-	// leavingPause is the same for one that said it is leaving, and ends
-	// because its node may only be restarted: a stopping node sends requests
-	// away for its last second and is back within one more.
-	leavingPause = 2 * time.Second
+	// unreachableBackoff is how long an instance is avoided after its node
+	// could not be reached.
+	unreachableBackoff = time.Second
+	// leavingBackoff is how long an instance is avoided after it reported
+	// that it is leaving. It is finite because the node may only be
+	// restarting.
+	leavingBackoff = 2 * time.Second
 )
 
 type (
-	// Weights are what counts against an instance besides the part of its
-	// slots in use, in such parts. One of zero leaves its matter out.
+	// Weights are the costs of an instance's properties in addition to its
+	// utilization, as fractions of its slots in use. A zero weight disables
+	// the property.
 	Weights struct {
-		Far     float64 // for one in another data centre
-		Fail    float64 // for one whose answers all fail
-		Told    float64 // of what its node tells of its failures, 0 to 1
-		Slow    float64 // for each time that it is slower than usual
-		Tight   float64 // the same for an action, by the part of its time it takes
-		Explore int     // one of so many actions goes to any sound instance; 0 for none
-		Sample  int     // so many instances are weighed for a request; 0 for all
+		Far     float64 // for an instance in another data centre
+		Fail    float64 // for an instance whose requests all fail
+		Told    float64 // of the failure rate and slowdown reported by the instance's node, 0 to 1
+		Slow    float64 // per unit of relative latency above the mean
+		Tight   float64 // the same for an action, multiplied by the fraction of its time limit that its route takes
+		Explore int     // one in Explore actions is sent to any healthy instance; 0 for none
+		Sample  int     // number of instances considered per request; 0 for all
 	}
 
-	// Config is what a Balancer is built from.
+	// Config configures a Balancer.
 	Config struct {
 		DC      callgraph.DC // of the node
 		Weights Weights
 	}
 
-	// Balancer keeps what is known of each instance's behaviour. It is safe
-	// for concurrent use.
+	// Balancer chooses instances for requests from the load, latency and
+	// failures observed and reported for each of them. It is safe for
+	// concurrent use.
 	Balancer struct {
 		cfg Config
 
-		mu     sync.Mutex
-		usual  map[string]time.Duration // mean time of each route's requests
-		states map[directory.Start]*state
+		mu          sync.Mutex
+		meanByRoute map[string]time.Duration // mean latency by route
+		states      map[directory.Start]*instanceState
 	}
 
-	// Ask is a request to be sent to one of several instances.
+	// Ask describes a request to be sent to one of several instances.
 	Ask struct {
 		Route     string
 		Instances []directory.Instance
-		Near      []directory.Instance   // those in the node's own data centre; may be left out
-		Tried     []directory.InstanceID // not to be picked
-		// Once says that it cannot be sent again when it may have run.
+		Near      []directory.Instance   // instances in the node's own data centre; optional
+		Tried     []directory.InstanceID // instances not to be picked
+		// Once means that the request is an action that must not be retried
+		// if it may have run.
 		Once bool
-		Time time.Duration // in which it is to be done; only with Once
+		Time time.Duration // time limit; only used with Once
 	}
 
-	// Outcome is how one request to an instance ended.
+	// Outcome is the result of one request to an instance.
 	Outcome struct {
-		Route       string        // by which the request went
-		Took        time.Duration // from sending to the answer; 0 if it says nothing of speed
-		Failed      bool          // the instance ran it and failed, or nothing came back
-		Refused     bool          // the instance itself refused to run it
-		Unreachable bool          // its node could not be reached
-		Leaving     bool          // its node or the instance takes no new requests
-		Load        *call.Load    // as its node told with the answer; may be nil
+		Route       string
+		Took        time.Duration // time from sending to the response; 0 to leave the latency unchanged
+		Failed      bool          // the request ran and failed, or no response was received
+		Refused     bool          // the instance itself refused to run the request
+		Unreachable bool          // the instance's node could not be reached
+		Leaving     bool          // the instance or its node accepts no new requests
+		Load        *call.Load    // reported with the response; may be nil
 	}
 
-	state struct {
-		outstanding int
-		load        call.Load
-		loadAt      int // outstanding when load was told
-		slow        speed
-		byRoute     map[string]speed
-		health      Health  // by this node's own requests
-		told        float64 // part that fails, as the instance's node told
-		toldSlow    float64 // by how much it is slower than lately, as that told
-		toldAt      time.Time
-		avoidUntil  time.Time
+	instanceState struct {
+		outstanding       int
+		load              call.Load
+		outstandingAtLoad int // value of outstanding when load was reported
+		latency           relativeLatency
+		latencyByRoute    map[string]relativeLatency
+		health            Health  // as observed by this node
+		reportedFailing   float64 // failure rate reported by the instance's node
+		reportedSlowdown  float64 // relative latency above normal reported by the instance's node
+		reportedAt        time.Time
+		avoidUntil        time.Time
 	}
 )
 
-// Usual are the weights that are measured to serve best.
+// Usual returns the default weights.
 func Usual() Weights {
-	return Weights{Far: farCost, Fail: failCost, Told: 1, Slow: slowCost, Tight: tightCost, Explore: exploreOne, Sample: sample}
+	return Weights{Far: remoteDCCost, Fail: failureCost, Told: 1, Slow: slowdownCost, Tight: deadlineRiskCost, Explore: exploreOneIn, Sample: sampleSize}
 }
 
-// New returns a Balancer that knows no instance.
+// New returns a Balancer without any data on instances.
 func New(cfg Config) *Balancer {
-	return &Balancer{cfg: cfg, usual: map[string]time.Duration{}, states: map[directory.Start]*state{}}
+	return &Balancer{cfg: cfg, meanByRoute: map[string]time.Duration{}, states: map[directory.Start]*instanceState{}}
 }
 
 // Pick chooses an instance for a request and counts the request as
-// outstanding there until Done. ok is false when none is left.
+// outstanding there until Done is called. ok is false if there is no
+// candidate.
 func (b *Balancer) Pick(a Ask) (in directory.Instance, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := choice{b: b, ask: &a, now: time.Now(), certain: anyCertain(a.Instances)}
-	c.explore = a.Once && b.cfg.Weights.Explore > 0 && rand.N(b.cfg.Weights.Explore) == 0
-	c.look()
-	best := c.best
+	sel := selection{b: b, ask: &a, now: time.Now(), confirmed: anyConfirmed(a.Instances)}
+	sel.explore = a.Once && b.cfg.Weights.Explore > 0 && rand.N(b.cfg.Weights.Explore) == 0
+	sel.run()
+	best := sel.best
 	if best == nil {
-		best = c.avoided
+		best = sel.avoided
 	}
 	if best == nil {
 		return directory.Instance{}, false
@@ -159,17 +170,18 @@
 	return *best, true
 }
 
-// tightness is what an instance's speed on a route costs an action besides.
-func (b *Balancer) tightness(a *Ask, s *state, now time.Time) float64 {
+// deadlineRisk returns the additional cost of an instance for an action, by
+// its relative latency on the route.
+func (b *Balancer) deadlineRisk(a *Ask, s *instanceState, now time.Time) float64 {
 	if !a.Once || a.Time <= 0 {
 		return 0
 	}
-	part := min(1, float64(b.usual[a.Route])/float64(a.Time))
-	return b.cfg.Weights.Tight * part * s.byRoute[a.Route].over(now, routeForget)
+	fraction := min(1, float64(b.meanByRoute[a.Route])/float64(a.Time))
+	return b.cfg.Weights.Tight * fraction * s.latencyByRoute[a.Route].excess(now, routeSlowdownHalfLife)
 }
 
-// Done notes how a request to an instance ended; at is the start that it was
-// sent to.
+// Done records the outcome of a request to the instance start at, as
+// returned by Pick.
 func (b *Balancer) Done(at directory.Start, o Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -178,38 +190,38 @@
 	now := time.Now()
 	switch {
 	case o.Unreachable:
-		s.avoidUntil = now.Add(unreachablePause)
+		s.avoidUntil = now.Add(unreachableBackoff)
 		return
 	case o.Leaving:
-		s.avoidUntil = now.Add(leavingPause)
+		s.avoidUntil = now.Add(leavingBackoff)
 	case !o.Failed && !o.Refused:
 		s.avoidUntil = time.Time{}
 	}
 	if o.Load != nil {
-		s.load, s.loadAt = *o.Load, s.outstanding
-		s.told, s.toldSlow, s.toldAt = o.Load.Failing, o.Load.Slow-1, now
+		s.load, s.outstandingAtLoad = *o.Load, s.outstanding
+		s.reportedFailing, s.reportedSlowdown, s.reportedAt = o.Load.Failing, o.Load.Slow-1, now
 	}
 	s.health.Note(o.Failed || o.Refused)
 	if o.Took > 0 {
-		b.noteSpeed(s, o, now)
+		b.recordLatency(s, o, now)
 	}
 }
 
-// noteSpeed compares a request's time with the usual of its route: the mean
-// time itself would tell more of which requests an instance happened to get.
-func (b *Balancer) noteSpeed(s *state, o Outcome, now time.Time) {
-	usual, ok := b.usual[o.Route]
+// recordLatency updates the relative latency of an instance. Absolute
+// latency would mostly reflect which routes the instance happened to serve.
+func (b *Balancer) recordLatency(s *instanceState, o Outcome, now time.Time) {
+	mean, ok := b.meanByRoute[o.Route]
 	if !ok {
-		usual = o.Took
+		mean = o.Took
 	}
-	ratio := min(float64(o.Took)/float64(usual), ratioMost)
-	b.usual[o.Route] = usual + time.Duration(float64(o.Took-usual)*usualSmoothing)
-	s.slow = s.slow.next(ratio, now)
-	s.byRoute[o.Route] = s.byRoute[o.Route].next(ratio, now)
+	ratio := min(float64(o.Took)/float64(mean), maxRatio)
+	b.meanByRoute[o.Route] = mean + time.Duration(float64(o.Took-mean)*routeMeanSmoothing)
+	s.latency = s.latency.add(ratio, now)
+	s.latencyByRoute[o.Route] = s.latencyByRoute[o.Route].add(ratio, now)
 }
 
-// Knows reports whether requests were sent to a start of an instance, or it
-// was weighed for one.
+// Knows reports whether a start of an instance has been considered for or
+// sent a request.
 func (b *Balancer) Knows(at directory.Start) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,7 +229,8 @@
 	return ok
 }
 
-// Keep forgets the starts of instances that a view no longer lists.
+// Keep discards the data on instance starts that v does not list and that
+// have no outstanding requests.
 func (b *Balancer) Keep(v *directory.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -228,51 +241,52 @@
 	}
 }
 
-func (b *Balancer) state(at directory.Start) *state {
+func (b *Balancer) state(at directory.Start) *instanceState {
 	s := b.states[at]
 	if s == nil {
-		s = &state{byRoute: map[string]speed{}}
+		s = &instanceState{latencyByRoute: map[string]relativeLatency{}}
 		b.states[at] = s
 	}
 	return s
 }
 
-// cost is how much is against an instance, mostly the part of its slots that
-// is in use; less is better.
-func (b *Balancer) cost(in *directory.Instance, s *state, now time.Time) float64 {
-	c := s.used(in)
+// cost returns the cost of choosing an instance, mainly its utilization;
+// lower is better.
+func (b *Balancer) cost(in *directory.Instance, s *instanceState, now time.Time) float64 {
+	c := s.utilization(in)
 	if now.Before(in.ColdTill) {
 		c *= coldFactor
 	}
 	if in.DC != b.cfg.DC {
 		c += b.cfg.Weights.Far
 	}
-	c += b.cfg.Weights.Fail * b.failing(s)
-	slow := max(s.slow.over(now, slowForget), b.cfg.Weights.Told*faded(s.toldSlow, s.toldAt))
-	c += min(slowMost, b.cfg.Weights.Slow*slow)
+	c += b.cfg.Weights.Fail * b.failureRate(s)
+	excess := max(s.latency.excess(now, slowdownHalfLife), b.cfg.Weights.Told*decayed(s.reportedSlowdown, s.reportedAt))
+	c += min(maxSlowdownCost, b.cfg.Weights.Slow*excess)
 	return c + jitter*rand.Float64()
 }
 
-// used is the part of an instance's slots that is in use or waited for.
-func (s *state) used(in *directory.Instance) float64 {
+// utilization returns the number of requests at or queued for an instance as
+// a fraction of its slots.
+func (s *instanceState) utilization(in *directory.Instance) float64 {
 	limit := s.load.Limit
 	if limit == 0 {
 		limit = max(in.Slots, 1)
 	}
-	n := max(s.load.Busy+s.load.Queued+s.outstanding-s.loadAt, s.outstanding)
+	n := max(s.load.Busy+s.load.Queued+s.outstanding-s.outstandingAtLoad, s.outstanding)
 	return float64(n) / float64(limit)
 }
 
-// failing is the part of an instance's requests that fails. This node sees
-// what got lost on the way; the instance's node sees the requests of all
-// callers, and tells of an instance that fails after a few of them, where
-// each caller by itself would have to lose a dozen to know.
-func (b *Balancer) failing(s *state) float64 {
-	return max(s.health.Failing(), b.cfg.Weights.Told*faded(s.told, s.toldAt))
+// failureRate returns the higher of the failure rates observed by this node
+// and reported by the instance's node. The former includes lost responses;
+// the latter covers the requests of all callers and so shows a failing
+// instance sooner.
+func (b *Balancer) failureRate(s *instanceState) float64 {
+	return max(s.health.Failing(), b.cfg.Weights.Told*decayed(s.reportedFailing, s.reportedAt))
 }
 
-// anyCertain reports whether some instance is there for certain.
-func anyCertain(instances []directory.Instance) bool {
+// anyConfirmed reports whether any instance is neither leaving nor doubtful.
+func anyConfirmed(instances []directory.Instance) bool {
 	for i := range instances {
 		if !instances[i].Leaving && !instances[i].Doubtful {
 			return true
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -17,15 +17,15 @@
 	{ID: "far", DC: "sued", Slots: 60},
 }
 
-// picks sends n requests one after the other, each ending with the outcome
-// that end gives, and counts where they went.
-func picks(b *Balancer, n int, end func(id directory.InstanceID) Outcome) map[directory.InstanceID]int {
+// countPicks sends n sequential requests, each with the result returned by
+// outcome, and counts them by instance.
+func countPicks(b *Balancer, n int, outcome func(id directory.InstanceID) Outcome) map[directory.InstanceID]int {
 	count := map[directory.InstanceID]int{}
 	for range n {
 		in, ok := b.Pick(Ask{Instances: instances})
 		So(ok, ShouldBeTrue)
 		count[in.ID]++
-		b.Done(in.Start(), end(in.ID))
+		b.Done(in.Start(), outcome(in.ID))
 		time.Sleep(time.Millisecond)
 	}
 	return count
@@ -33,74 +33,72 @@
 
 func loadOf(busy int) *call.Load { return &call.Load{Busy: busy, Limit: 60} }
 
-func TestTheNearInstanceIsFilledBeforeTheFarOne(t *testing.T) {
+func TestLocalDataCentreIsPreferredUntilBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Bytes between data centres are dear, waiting is dearer", t, func() {
+		Convey("The local instance is used until it is nearly full", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
-			fine := func(directory.InstanceID) Outcome { return Outcome{Took: time.Millisecond, Load: loadOf(10)} }
-			So(picks(b, 100, fine)["near"], ShouldEqual, 100)
+			idle := func(directory.InstanceID) Outcome { return Outcome{Took: time.Millisecond, Load: loadOf(10)} }
+			So(countPicks(b, 100, idle)["near"], ShouldEqual, 100)
 			busy := func(id directory.InstanceID) Outcome {
 				if id == "near" {
 					return Outcome{Took: time.Millisecond, Load: loadOf(58)}
 				}
-				return fine(id)
+				return idle(id)
 			}
-			So(picks(b, 100, busy)["far"], ShouldBeGreaterThan, 90)
+			So(countPicks(b, 100, busy)["far"], ShouldBeGreaterThan, 90)
 		})
 	})
 }
 
-// An instance fails half its requests while its health check is good. Its
-// slots are free, so by load alone it would get the most. It must get few,
-// and its share back once it has mended.
-func TestAnInstanceThatFailsGetsFewRequestsUntilItMends(t *testing.T) {
+// A failing instance has free slots, so by utilization alone it would
+// attract the most requests. It must get few, and its share again after it
+// has recovered.
+func TestFailingInstanceIsAvoidedUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Failures drive requests away, for a while", t, func() {
+		Convey("Failures reduce an instance's share temporarily", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
 			n := 0
-			grey := func(id directory.InstanceID) Outcome {
+			failing := func(id directory.InstanceID) Outcome {
 				n++
 				return Outcome{Failed: id == "near" && n%2 == 0, Load: loadOf(10)}
 			}
-			picks(b, 50, grey)
-			So(picks(b, 200, grey)["near"], ShouldBeLessThan, 40)
-			fine := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(10)} }
+			countPicks(b, 50, failing)
+			So(countPicks(b, 200, failing)["near"], ShouldBeLessThan, 40)
+			healthy := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(10)} }
 			time.Sleep(20 * time.Second)
-			picks(b, 100, fine)
-			So(picks(b, 100, fine)["near"], ShouldBeGreaterThan, 90)
+			countPicks(b, 100, healthy)
+			So(countPicks(b, 100, healthy)["near"], ShouldBeGreaterThan, 90)
 		})
 	})
 }
 
-// Two fifths of an instance's answers are lost. Sixteen nodes send it a few
-// actions a second each, which cannot be sent again; by its own requests a
-// node knows of it only after it has lost several. The node beside the
-// instance sees all of them, and its next answer tells.
-func TestAnInstanceWhoseNodeTellsOfFailuresIsLeftAtOnce(t *testing.T) {
+// An instance's node sees the failures of all callers. Its report must take
+// effect with one response, before this node loses several actions of its
+// own.
+func TestReportedFailuresTakeEffectAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("One answer that tells is enough, and it is believed for a while", t, func() {
+		Convey("One report is enough, and its effect expires", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
-			told := func(id directory.InstanceID) Outcome {
+			reported := func(id directory.InstanceID) Outcome {
 				l := loadOf(10)
 				if id == "near" {
 					l.Failing = 0.4
 				}
 				return Outcome{Load: l}
 			}
-			So(picks(b, 100, told)["near"], ShouldEqual, 1)
+			So(countPicks(b, 100, reported)["near"], ShouldEqual, 1)
 			time.Sleep(20 * time.Second)
-			fine := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(10)} }
-			So(picks(b, 100, fine)["near"], ShouldEqual, 100)
+			healthy := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(10)} }
+			So(countPicks(b, 100, healthy)["near"], ShouldEqual, 100)
 		})
 	})
 }
 
-// An instance turns five times slower while its slots are still free. Its
-// requests would come too late; they are to go to the other data centre. The
-// routes mix short and long requests, which says nothing of speed.
-func TestASlowInstanceGetsFewRequests(t *testing.T) {
+// A slow instance with free slots must lose requests to another data centre,
+// while a mix of short and long routes must not be taken for slowness.
+func TestSlowInstanceGetsFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Speed is told apart from the mix of requests", t, func() {
+		Convey("Relative latency is independent of the mix of routes", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
 			slow := time.Duration(1)
 			run := func(n int) int {
@@ -128,13 +126,12 @@
 	})
 }
 
-// The only approval instance of a data centre is slow: it takes half as long
-// again as the others, and one approval in thirty runs out of its 1.5 s there
-// and is lost, since it may have run. There is room elsewhere. Reads, which
-// can be made again, stay near.
-func TestATightActionGoesToAFastInstance(t *testing.T) {
+// An action on a slow instance may exceed its time limit and cannot be
+// retried, so it must go to a faster instance in another data centre. Reads,
+// which can be retried, stay local.
+func TestActionNearItsDeadlineGoesToFastInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Approvals go to the far, fast instance, reads to the near one", t, func() {
+		Convey("Approvals go to the fast remote instance, reads to the local one", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
 			run := func(a Ask, usual time.Duration, n int) (near int) {
 				a.Instances = instances
@@ -154,7 +151,7 @@
 			run(approve, 450*time.Millisecond, 2000)
 			So(run(approve, 450*time.Millisecond, 300), ShouldBeLessThan, 45)
 			So(run(Ask{Route: "read"}, 400*time.Millisecond, 300), ShouldBeGreaterThan, 270)
-			Convey("But not to one that is full", func() {
+			Convey("Approvals do not go to a full instance", func() {
 				in, _ := b.Pick(approve)
 				b.Done(in.Start(), Outcome{})
 				b.states[directory.Start{ID: "far"}].load = *loadOf(60)
@@ -172,29 +169,28 @@
 	})
 }
 
-// A node cannot be reached. Each request that tries it first loses the time
-// of a dial; it is to be tried again once in a while only, and it must still
-// be tried when it is the only one.
-func TestAnUnreachableInstanceIsPassedOver(t *testing.T) {
+// Each attempt to reach an unreachable node costs a dial timeout, so it is
+// retried only after a backoff, or if no other instance is left.
+func TestUnreachableInstanceIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("It is left alone for a second, unless nothing else is left", t, func() {
+		Convey("It is avoided during the backoff unless no other instance is left", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
 			in, _ := b.Pick(Ask{Instances: instances})
 			b.Done(in.Start(), Outcome{Unreachable: true})
-			fine := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(1)} }
-			So(picks(b, 500, fine)["near"], ShouldEqual, 0)
+			healthy := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(1)} }
+			So(countPicks(b, 500, healthy)["near"], ShouldEqual, 0)
 			in, ok := b.Pick(Ask{Instances: instances, Tried: []directory.InstanceID{"far"}})
 			So(ok, ShouldBeTrue)
 			So(in.ID, ShouldEqual, directory.InstanceID("near"))
 			b.Done(directory.Start{ID: "near"}, Outcome{Unreachable: true})
-			time.Sleep(unreachablePause)
-			So(picks(b, 10, fine)["near"], ShouldEqual, 10)
+			time.Sleep(unreachableBackoff)
+			So(countPicks(b, 10, healthy)["near"], ShouldEqual, 10)
 		})
 	})
 }
 
-func TestLeavingAndTriedInstancesGetNothing(t *testing.T) {
-	Convey("Neither an instance that leaves nor one already asked is picked", t, func() {
+func TestLeavingAndTriedInstancesAreNotPicked(t *testing.T) {
+	Convey("Neither a leaving instance nor one already tried is picked", t, func() {
 		b := New(Config{DC: "nord", Weights: Usual()})
 		leaving := []directory.Instance{{ID: "a", Leaving: true}, {ID: "b"}}
 		in, ok := b.Pick(Ask{Instances: leaving})
@@ -205,11 +201,10 @@
 	})
 }
 
-// The store is back after an outage and one instance is missing from its
-// list. It may have left, and then gets no more requests; but when all are
-// missing, they are all there is until they are listed again.
-func TestDoubtfulInstancesAreTheLastResort(t *testing.T) {
-	Convey("A doubtful instance is picked only where no other is left at all", t, func() {
+// Doubtful instances may have left. They must be used only if there is no
+// other instance at all.
+func TestDoubtfulInstancesAreLastResort(t *testing.T) {
+	Convey("A doubtful instance is picked only if there is no other at all", t, func() {
 		b := New(Config{DC: "nord", Weights: Usual()})
 		some := []directory.Instance{{ID: "a", Doubtful: true}, {ID: "b"}}
 		in, ok := b.Pick(Ask{Instances: some})
@@ -224,11 +219,11 @@
 	})
 }
 
-// BenchmarkPick measures choosing among the instances of a service at the
-// size to design for, 1,100 instances in 120 services, and among a hundred.
+// BenchmarkPick measures picking among 10 and 100 instances, with and
+// without sampling.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{10, 100} {
-		for _, sample := range []int{0, sample} {
+		for _, sample := range []int{0, sampleSize} {
 			b.Run(fmt.Sprintf("instances=%d/sample=%d", size, sample), func(b *testing.B) {
 				w := Usual()
 				w.Sample = sample
@@ -251,12 +246,11 @@
 	}
 }
 
-// An instance turned slow and failed, was crowded, and starts again under
-// its id. Nothing of that is true of the new start; the requests that the
-// former one still has end later and must not count for it either.
-func TestANewStartIsKnownForNothing(t *testing.T) {
+// The data on an instance must not be applied to its next start under the
+// same ID, nor may requests to the former start that end later.
+func TestRestartedInstanceStartsWithoutHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("The new start gets the requests of the near one again", t, func() {
+		Convey("The new start gets the requests of the local instance again", t, func() {
 			b := New(Config{DC: "nord", Weights: Usual()})
 			first := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 1000}, {ID: "far", DC: "sued", Slots: 60, Started: 1000}}
 			var late []directory.Instance
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,4 +1,4 @@
-// Package balance chooses the instance that gets a request, from what its
-// answers told: how busy it is, how fast, how often it fails. It needs no
+// Package balance chooses the instance for each request by load, latency and
+// failure rate, as observed and as reported with responses. It needs no
 // network.
 package balance
--- /dev/null
+++ b/balance/selection.go
@@ -0,0 +1,77 @@
+package balance
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/oatpin/oatpin/directory"
+)
+
+// sampleSize is how many instances are considered for a request, half of
+// them in the node's own data centre if there are enough. Load data is stale
+// where there are many instances, so considering all would make many nodes
+// pick the same one; a random sample avoids this herding.
+const sampleSize = 10
+
+// selection is the state of picking an instance for one request.
+type selection struct {
+	b         *Balancer
+	ask       *Ask
+	now       time.Time
+	confirmed bool // an instance neither leaving nor doubtful exists
+	explore   bool
+
+	best, avoided         *directory.Instance
+	bestCost, avoidedCost float64
+}
+
+// run considers a sample of the instances, or all if none of the sample is
+// suitable.
+func (sel *selection) run() {
+	size := sel.b.cfg.Weights.Sample
+	if size > 0 && len(sel.ask.Instances) > size {
+		sel.considerSome(sel.ask.Near, size/2)
+		sel.considerSome(sel.ask.Instances, size-size/2)
+		if sel.best != nil {
+			return
+		}
+	}
+	sel.considerSome(sel.ask.Instances, len(sel.ask.Instances))
+}
+
+// considerSome considers n consecutive instances from a random start.
+// Assumes that their order is random.
+func (sel *selection) considerSome(all []directory.Instance, n int) {
+	if len(all) == 0 {
+		return
+	}
+	i := rand.N(len(all))
+	for range min(n, len(all)) {
+		sel.consider(&all[i])
+		if i++; i == len(all) {
+			i = 0
+		}
+	}
+}
+
+func (sel *selection) consider(in *directory.Instance) {
+	if in.Leaving || (sel.confirmed && in.Doubtful) || slices.Contains(sel.ask.Tried, in.ID) {
+		return
+	}
+	b := sel.b
+	s := b.state(in.Start())
+	cost := b.cost(in, s, sel.now) + b.deadlineRisk(sel.ask, s, sel.now)
+	if sel.now.Before(s.avoidUntil) {
+		if sel.avoided == nil || cost < sel.avoidedCost {
+			sel.avoided, sel.avoidedCost = in, cost
+		}
+		return
+	}
+	if sel.explore && b.failureRate(s) < maxExploreFailureRate && s.utilization(in) < maxExploreUtilization {
+		cost = rand.Float64() - exploreDiscount
+	}
+	if sel.best == nil || cost < sel.bestCost {
+		sel.best, sel.bestCost = in, cost
+	}
+}
