--- a/vouch/doc.go
+++ b/vouch/doc.go
@@ -1,4 +1,4 @@
-// Package vouch decides whether the node beside an instance may speak for it
-// to other nodes after the instance's entry has gone from the list, and for
-// how long such a word holds.
+// Package vouch decides whether the node beside an instance may confirm to
+// other nodes that the instance is still in service after its registry entry
+// was removed, and for how long such a confirmation (a vouch) is valid.
 package vouch
--- a/vouch/model_test.go
+++ b/vouch/model_test.go
@@ -13,68 +13,70 @@
 )
 
 const (
-	// mayServe is how long an instance may get requests after it left.
-	mayServe = 2 * time.Second
-	// lapses is how long after its last report an entry goes.
-	lapses = 4500 * time.Millisecond
-	// reports is how often an instance reports.
-	reports = 1500 * time.Millisecond
-	tick    = 50 * time.Millisecond
+	// maxServeAfterLeave is how long an instance may get requests after it
+	// left.
+	maxServeAfterLeave = 2 * time.Second
+	// entryTTL is the age of the last report at which an entry expires.
+	entryTTL = 4500 * time.Millisecond
+	// reportInterval is the interval between reports of an instance.
+	reportInterval = 1500 * time.Millisecond
+	tick           = 50 * time.Millisecond
 )
 
-// model is one instance, the node beside it, the source, and another node
-// that uses it. Each tick the instance reports when it is due and reaches the
-// source; the source lists and removes; the other node hears of it and asks.
+// model simulates an instance, the node beside it, the source, and a peer
+// node that uses the instance. On each tick the instance reports if it is
+// due and reaches the source, the source lists it or expires it, and the
+// peer applies changes and asks the node for vouches.
 type model struct {
 	t *rapid.T
 
-	inst       directory.Instance
-	up         bool      // the instance runs
-	leaving    bool      // and drains
-	leftAt     time.Time // when it began to leave, without a word
-	upSince    time.Time // of this start
-	reportAt   time.Time // of its next report
-	storeCut   bool      // the VM does not reach the source, nor the source it
-	rejected   bool      // the source turns the node away, not the instance
-	peerCut    bool      // the other node does not reach the VM
-	changed    time.Time // of the latest change of the cuts
-	entry      bool      // at the source
-	heardAt    time.Time // the source's latest report
-	unlistedAt time.Time // when the entry last went
-	rev        directory.Revision
-
-	unheard bool // the node beside it was out of reach since its entry went
-	witness *Witness
-	other   *directory.Directory
-	asked   time.Time
-	ended   map[directory.InstanceID]time.Time // instances that left, and since when all could know
-	seen    bool                               // the node beside it has read the list since it started
+	instance       directory.Instance
+	running        bool
+	leaving        bool      // the instance drains
+	leftAt         time.Time // when it began to leave unannounced
+	upSince        time.Time // start time of this start
+	reportAt       time.Time // time of the next report
+	sourceCut      bool      // the VM and the source cannot reach each other
+	rejected       bool      // the source rejects the node but not the instance
+	peerCut        bool      // the peer cannot reach the VM
+	cutsChanged    time.Time // time of the last change of a cut
+	listedAtSource bool
+	lastReport     time.Time // last report received by the source
+	unlistedAt     time.Time // when the entry was last removed
+	rev            directory.Revision
+
+	missedUnlisting bool // the peer could not reach the node since the entry was removed
+	witness         *Witness
+	peer            *directory.Directory
+	lastAsked       time.Time
+	ended           map[directory.InstanceID]time.Time // instances that left, and since when the peer could know
+	witnessSeen     bool                               // the node has read the list since it started
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, other: directory.New(directory.Usual(&log.Logger{Handler: discard.New()}))}
-	m.inst = directory.Instance{ID: "i", Started: 1, Service: "s", Addr: "a:1", Slots: 4}
+	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.Usual(&log.Logger{Handler: discard.New()}))}
+	m.instance = directory.Instance{ID: "i", Started: 1, Service: "s", Addr: "a:1", Slots: 4}
 	m.witness = NewWitness(Config{Listed: m.listed, Probe: m.probe, SourceLost: func() time.Time { return time.Time{} }})
-	m.up, m.upSince, m.changed = true, time.Now(), time.Now()
-	m.run(2 * reports)
+	m.running, m.upSince, m.cutsChanged = true, time.Now(), time.Now()
+	m.run(2 * reportInterval)
 	return m
 }
 
 func (m *model) listed(context.Context, directory.InstanceID) (bool, error) {
-	if m.storeCut || m.rejected {
-		return false, errAway
+	if m.sourceCut || m.rejected {
+		return false, errNoAnswer
 	}
-	return m.entry, nil
+	return m.listedAtSource, nil
 }
 
 func (m *model) probe(_ context.Context, in directory.Instance) Fitness {
-	if m.up && !m.leaving && in.ID == m.inst.ID {
+	if m.running && !m.leaving && in.ID == m.instance.ID {
 		return Fit
 	}
 	return Unfit
 }
 
-// run lets time pass and checks after each tick.
+// run advances the time by d and checks the invariants after each tick.
 func (m *model) run(d time.Duration) {
 	for range d / tick {
 		time.Sleep(tick)
@@ -85,144 +87,144 @@
 
 func (m *model) step() {
 	now := time.Now()
-	if m.up && !m.leaving && !m.storeCut && !now.Before(m.reportAt) {
-		m.reportAt, m.heardAt = now.Add(reports), now
+	if m.running && !m.leaving && !m.sourceCut && !now.Before(m.reportAt) {
+		m.reportAt, m.lastReport = now.Add(reportInterval), now
 		m.list()
 	}
-	if m.entry && now.Sub(m.heardAt) > lapses {
+	if m.listedAtSource && now.Sub(m.lastReport) > entryTTL {
 		m.unlist()
 	}
 	m.ask(now)
-	m.other.Settle()
+	m.peer.Settle()
 }
 
 func (m *model) list() {
-	m.entry = true
+	m.listedAtSource = true
 	m.rev++
-	in := m.inst
+	in := m.instance
 	in.Revision = m.rev
-	m.other.Apply([]directory.Change{{Instance: &in}}, m.rev)
-	if !m.storeCut && !m.rejected {
+	m.peer.Apply([]directory.Change{{Instance: &in}}, m.rev)
+	if !m.sourceCut && !m.rejected {
 		m.witness.See(in)
-		m.seen = true
+		m.witnessSeen = true
 	}
 }
 
 func (m *model) unlist() {
-	m.entry, m.unlistedAt = false, time.Now()
+	m.listedAtSource, m.unlistedAt = false, time.Now()
 	m.rev++
-	m.other.Apply([]directory.Change{{Gone: m.inst.ID, GoneAt: m.rev}}, m.rev)
+	m.peer.Apply([]directory.Change{{Gone: m.instance.ID, GoneAt: m.rev}}, m.rev)
 }
 
-// ask is the other node's part: at once when an entry went, then each
-// RenewEvery.
+// ask performs the peer's requests for vouches, at once when an entry is
+// removed and then every RenewEvery.
 func (m *model) ask(now time.Time) {
-	if m.peerCut || now.Sub(m.asked) < RenewEvery {
+	if m.peerCut || now.Sub(m.lastAsked) < RenewEvery {
 		return
 	}
-	for _, in := range m.other.View().All() {
+	for _, in := range m.peer.View().All() {
 		if in.Unlisted {
-			m.asked = now
-			m.hear(in)
+			m.lastAsked = now
+			m.askWitness(in)
 		}
 	}
 }
 
-func (m *model) hear(in directory.Instance) {
+func (m *model) askWitness(in directory.Instance) {
 	if m.witness.Vouch(context.Background(), in.Start()) {
-		m.other.Vouched(in.Start(), time.Now().Add(Term))
+		m.peer.Vouched(in.Start(), time.Now().Add(Term))
 		return
 	}
-	m.other.Disown(in.Start())
+	m.peer.Disown(in.Start())
 }
 
-// check compares what the other node believes with what is so.
+// check compares the peer's view with the actual state.
 func (m *model) check() {
 	now := time.Now()
-	if !m.leftAt.IsZero() && !m.entry {
-		// Until the source takes its entry off, nobody can know.
-		m.ended[m.inst.ID] = m.leftAt
+	if !m.leftAt.IsZero() && !m.listedAtSource {
+		// Nobody can know before the source removes the entry.
+		m.ended[m.instance.ID] = m.leftAt
 		if m.unlistedAt.After(m.leftAt) {
-			m.ended[m.inst.ID] = m.unlistedAt
+			m.ended[m.instance.ID] = m.unlistedAt
 		}
 	}
 	for id, at := range m.ended {
-		if in, used := m.other.View().Find(id); used && now.Sub(at) > mayServe {
-			m.t.Fatalf("an instance that left %v ago is still used: %+v", now.Sub(at), in)
+		if in, used := m.peer.View().Find(id); used && now.Sub(at) > maxServeAfterLeave {
+			m.t.Fatalf("instance that left %v ago is still used: %+v", now.Sub(at), in)
 		}
 	}
-	in, used := m.other.View().Find(m.inst.ID)
-	settled := now.Sub(m.changed) > lapses+reports+time.Second
-	// An instance whose node could not be heard when its entry went is dropped
-	// until it is listed again.
-	m.unheard = !m.entry && (m.unheard || m.peerCut)
-	steady := m.up && !m.unheard && !m.leaving && m.seen && now.Sub(m.upSince) > 2*time.Second
-	if steady && settled && !m.peerCut && m.storeCut && (!used || in.Doubtful) {
-		m.t.Fatalf("a live instance whose VM is cut off from the source is not used: %+v", in)
+	in, used := m.peer.View().Find(m.instance.ID)
+	settled := now.Sub(m.cutsChanged) > entryTTL+reportInterval+time.Second
+	// An instance whose node was unreachable when its entry was removed is
+	// dropped until it is listed again.
+	m.missedUnlisting = !m.listedAtSource && (m.missedUnlisting || m.peerCut)
+	steady := m.running && !m.missedUnlisting && !m.leaving && m.witnessSeen && now.Sub(m.upSince) > 2*time.Second
+	if steady && settled && !m.peerCut && m.sourceCut && (!used || in.Doubtful) {
+		m.t.Fatalf("live instance whose VM is cut off from the source is not used: %+v", in)
 	}
-	if steady && settled && !m.storeCut && (!used || in.Unlisted) {
-		m.t.Fatalf("a live instance that reports is not listed: %+v", in)
+	if steady && settled && !m.sourceCut && (!used || in.Unlisted) {
+		m.t.Fatalf("live instance that reports is not listed: %+v", in)
 	}
 }
 
-// leave ends the instance without a word, at once or after it drained.
-func (m *model) leave(drains bool) {
-	if !m.up || m.leaving {
+// leave stops the instance unannounced, after draining or at once.
+func (m *model) leave(drain bool) {
+	if !m.running || m.leaving {
 		return
 	}
-	m.leaving, m.up = drains, drains
+	m.leaving, m.running = drain, drain
 	m.leftAt = time.Now()
-	if m.entry && !m.storeCut && drains {
+	if m.listedAtSource && !m.sourceCut && drain {
 		m.unlist()
 	}
 }
 
-// startAgain is the next start, under the same id or another.
-func (m *model) startAgain(sameID bool) {
-	if m.up && !m.leaving {
+// restart starts the instance again, under the same ID or another.
+func (m *model) restart(sameID bool) {
+	if m.running && !m.leaving {
 		return
 	}
-	if m.entry {
+	if m.listedAtSource {
 		m.unlist()
 	}
 	if sameID {
-		delete(m.ended, m.inst.ID)
+		delete(m.ended, m.instance.ID)
 	} else {
-		m.inst.ID += "'"
+		m.instance.ID += "'"
 	}
 	m.leftAt = time.Time{}
-	m.inst.Started++
-	m.up, m.leaving, m.upSince, m.reportAt = true, false, time.Now(), time.Now()
-	m.changed, m.seen = time.Now(), false
+	m.instance.Started++
+	m.running, m.leaving, m.upSince, m.reportAt = true, false, time.Now(), time.Now()
+	m.cutsChanged, m.witnessSeen = time.Now(), false
 }
 
-func (m *model) cut(b *bool) {
+func (m *model) toggle(b *bool) {
 	*b = !*b
-	m.changed = time.Now()
+	m.cutsChanged = time.Now()
 }
 
-// bubbleTB hides T.Deadline from rapid: it may not be asked for in a
+// bubbleTB hides T.Deadline from rapid, as it must not be called in a
 // synctest bubble.
 type bubbleTB struct{ rapid.TB }
 
-// Entries lapse behind cuts, are removed while the source answers, instances
-// leave without a word, crash, and start again under the same id or another,
-// in any order. One that left gets nothing after two seconds; one that lives
-// and is only cut off from the source goes on being used.
-func TestVouchesHoldLiveInstancesAndNoOthers(t *testing.T) {
+// Runs random sequences of expired and removed entries, network cuts,
+// rejections, unannounced exits, crashes and restarts. An instance that left
+// must get no requests after two seconds, and a live one that is only cut
+// off from the source must stay in use.
+func TestVouchesKeepOnlyLiveInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(bubbleTB{t}, func(t *rapid.T) {
 			m := newModel(t)
 			t.Repeat(map[string]func(*rapid.T){
-				"cut from the source": func(*rapid.T) { m.cut(&m.storeCut) },
-				"turned away":         func(*rapid.T) { m.cut(&m.rejected) },
-				"cut from the node":   func(*rapid.T) { m.cut(&m.peerCut) },
+				"cut from the source": func(*rapid.T) { m.toggle(&m.sourceCut) },
+				"turned away":         func(*rapid.T) { m.toggle(&m.rejected) },
+				"cut from the node":   func(*rapid.T) { m.toggle(&m.peerCut) },
 				"leave":               func(*rapid.T) { m.leave(true) },
 				"crash":               func(*rapid.T) { m.leave(false) },
-				"start again":         func(t *rapid.T) { m.startAgain(rapid.Bool().Draw(t, "same id")) },
+				"start again":         func(t *rapid.T) { m.restart(rapid.Bool().Draw(t, "same id")) },
 				"node restarts": func(*rapid.T) {
 					m.witness = NewWitness(Config{Listed: m.listed, Probe: m.probe, SourceLost: func() time.Time { return time.Time{} }})
-					m.seen = false
+					m.witnessSeen = false
 				},
 				"": func(t *rapid.T) {
 					m.run(time.Duration(rapid.IntRange(1, 160).Draw(t, "ticks")) * tick)
--- a/vouch/witness.go
+++ b/vouch/witness.go
@@ -9,93 +9,94 @@
 )
 
 const (
-	// Term is how long a vouch holds. An instance that leaves without a word
-	// may get requests for two seconds more; the oldest look that a vouch
-	// rests on, its term and a request's way stay within that.
+	// Term is how long a vouch is valid. An instance that leaves unannounced
+	// may get requests for two more seconds, which bounds the sum of the
+	// oldest check that a vouch is based on, its term and the transit time
+	// of a request.
 	Term = 1200 * time.Millisecond
-	// RenewEvery is how often a vouch is asked for again: twice within its
-	// term, so that one lost question does not end it.
+	// RenewEvery is the interval at which a vouch is renewed: twice within
+	// its term, so that one lost request does not end it.
 	RenewEvery = 500 * time.Millisecond
-	// lookKept is how long a look at the source and the target serves all
-	// that ask: the nodes that use an instance ask in the same moment.
-	lookKept = 400 * time.Millisecond
-	// LookWait bounds one look. The source answers in milliseconds, and in a
-	// fifth of a second when it is slow; one that takes longer counts as out
-	// of reach, and then the target's own word decides.
+	// checkTTL is how long the result of a check is reused, as all nodes
+	// that use an instance ask at the same time.
+	checkTTL = 400 * time.Millisecond
+	// LookWait is the timeout of a check. A source that takes longer counts
+	// as unreachable, and the probe of the target decides.
 	LookWait = 250 * time.Millisecond
-	// relistTime is how long after the source is back in reach a live
-	// instance may still be missing: it reports every second and a half, and
-	// is back within about two seconds.
-	relistTime = 2 * time.Second
+	// relistGrace is how long after the source is reachable again a live
+	// instance may still be missing from the list. Instances report every
+	// 1.5 s.
+	relistGrace = 2 * time.Second
 )
 
-// Fitness is what a target's health check tells.
+// Fitness is the result of a health check of the target.
 type Fitness int
 
 const (
-	// Unknown means that the target did not say: it was too busy, or silent.
+	// Unknown means that the target did not respond, or was too busy to.
 	Unknown Fitness = iota
-	// Fit means that this very instance is there and not leaving.
+	// Fit means that this instance is running and not leaving.
 	Fit
-	// Unfit means that it is leaving, failing, gone, or another one.
+	// Unfit means that it is leaving, failing, gone, or has been replaced.
 	Unfit
 )
 
 type (
-	// Config is what a Witness is built from; both functions are given
-	// LookWait.
+	// Config configures a Witness. Listed and Probe are called with a
+	// timeout of LookWait.
 	Config struct {
-		// Listed asks the source, nobody else, whether an instance is listed.
-		// An error means that it did not answer.
+		// Listed asks the source directly whether an instance is listed. It
+		// returns an error if the source did not answer.
 		Listed func(ctx context.Context, id directory.InstanceID) (bool, error)
-		// Probe asks the local target whether it is this instance and well.
+		// Probe asks the local target whether it is this instance and
+		// healthy.
 		Probe func(ctx context.Context, in directory.Instance) Fitness
-		// SourceLost returns when the source was last known not to answer
-		// this node's other questions; zero for never.
+		// SourceLost returns when other requests of this node to the source
+		// last failed, or zero for never.
 		SourceLost func() time.Time
 	}
 
-	// Witness is the node's knowledge of its own instance. An entry goes when
-	// an instance has left, and also when the instance is cut off from the
-	// source and its reports do not arrive. Other nodes cannot tell the two
-	// apart; this one can: if the source answers here and lacks the entry,
-	// the instance has left; if it does not answer, the entry lapsed, and the
-	// instance itself says whether it is there. It is safe for concurrent use.
+	// Witness decides whether this node vouches for its local instance. An
+	// instance's registry entry is removed when it leaves, but also when its
+	// reports do not reach the source. Only the node beside it can tell the
+	// two apart: if the source answers and lacks the entry, the instance has
+	// left; if the source does not answer, the entry may have expired, and a
+	// probe of the instance decides. It is safe for concurrent use.
 	Witness struct {
 		cfg Config
 
-		mu     sync.Mutex
-		seen   *directory.Instance // as last listed
-		ended  bool                // and is no more
-		fitAt  time.Time           // when it was last found fit
-		lostAt time.Time           // when the source last did not answer a look
-		looked time.Time
-		word   bool
-		busy   chan struct{} // a look is going on; closed at its end
+		mu           sync.Mutex
+		instance     *directory.Instance // as last listed
+		ended        bool                // this start of the instance is over
+		lastFit      time.Time           // last time the target was found fit
+		sourceLostAt time.Time           // last time the source did not answer a check
+		checkedAt    time.Time
+		verdict      bool
+		inProgress   chan struct{} // non-nil during a check; closed at its end
 	}
 )
 
 // NewWitness returns a Witness that has seen no instance.
 func NewWitness(cfg Config) *Witness { return &Witness{cfg: cfg} }
 
-// See notes the local instance as it is listed. One that starts anew, or
-// leaves, ends what was said of it before.
+// See records the local instance as listed. A new start, a new revision or a
+// leaving instance invalidates the last check.
 func (w *Witness) See(in directory.Instance) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.seen == nil || w.seen.Start() != in.Start() || w.seen.Revision != in.Revision || in.Leaving {
-		w.looked, w.fitAt, w.ended = time.Time{}, time.Time{}, false
+	if w.instance == nil || w.instance.Start() != in.Start() || w.instance.Revision != in.Revision || in.Leaving {
+		w.checkedAt, w.lastFit, w.ended = time.Time{}, time.Time{}, false
 	}
-	w.seen = &in
+	w.instance = &in
 }
 
-// Ended notes that nothing listens at the target's address: this start of it
-// is over. What answers there later is another one, also under the same id,
-// and is vouched for when it is listed.
+// Ended records that nothing listens at the target's address any more. A
+// later instance at that address is a new start, even under the same ID, and
+// is vouched for only once it is listed.
 func (w *Witness) Ended() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ended, w.word = true, false
+	w.ended, w.verdict = true, false
 }
 
 // Vouch reports whether this node vouches for a start of an instance for the
@@ -103,72 +104,74 @@
 func (w *Witness) Vouch(ctx context.Context, at directory.Start) bool {
 	for {
 		w.mu.Lock()
-		if w.seen == nil || w.seen.Start() != at || w.seen.Leaving || w.ended {
+		if w.instance == nil || w.instance.Start() != at || w.instance.Leaving || w.ended {
 			w.mu.Unlock()
 			return false
 		}
-		if time.Since(w.looked) < lookKept {
+		if time.Since(w.checkedAt) < checkTTL {
 			defer w.mu.Unlock()
-			return w.word
+			return w.verdict
 		}
-		if w.busy == nil {
-			w.busy = make(chan struct{})
-			in := *w.seen
+		if w.inProgress == nil {
+			w.inProgress = make(chan struct{})
+			in := *w.instance
 			w.mu.Unlock()
-			w.look(ctx, in)
+			w.check(ctx, in)
 			continue
 		}
-		busy := w.busy
+		inProgress := w.inProgress
 		w.mu.Unlock()
 		select {
-		case <-busy:
+		case <-inProgress:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// look asks the source and the target at once and notes what follows.
-func (w *Witness) look(ctx context.Context, in directory.Instance) {
+// check queries the source and the target concurrently and stores the
+// verdict.
+func (w *Witness) check(ctx context.Context, in directory.Instance) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), LookWait)
 	defer cancel()
-	fit := make(chan Fitness, 1)
-	go func() { fit <- w.cfg.Probe(ctx, in) }()
+	probed := make(chan Fitness, 1)
+	go func() { probed <- w.cfg.Probe(ctx, in) }()
 	listed, err := w.cfg.Listed(ctx, in.ID)
-	f := <-fit
+	fitness := <-probed
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	close(w.busy)
-	w.busy = nil
-	if w.seen == nil || w.seen.Start() != in.Start() {
+	close(w.inProgress)
+	w.inProgress = nil
+	if w.instance == nil || w.instance.Start() != in.Start() {
 		return
 	}
 	now := time.Now()
-	w.looked = now
+	w.checkedAt = now
 	if err != nil {
-		w.lostAt = now
+		w.sourceLostAt = now
 	}
-	w.word = w.decide(now, listed, err == nil, f)
+	w.verdict = w.decide(now, listed, err == nil, fitness)
 }
 
-// decide is the whole rule. The source's word goes first where it answers:
-// an entry that is there is the instance's own, and one that is missing while
-// the source has long been in reach was removed. Otherwise the instance must
-// be found fit: one may also leave while it is cut off.
-func (w *Witness) decide(now time.Time, listed, answered bool, f Fitness) bool {
-	if f == Fit {
-		w.fitAt = now
+// decide returns the verdict of a check. The source takes precedence if it
+// answers: a listed instance is vouched for unless it is unfit, and a
+// missing one has left unless the source was unreachable until recently.
+// Otherwise the instance must be fit, as it may also leave while it is cut
+// off.
+func (w *Witness) decide(now time.Time, listed, answered bool, fitness Fitness) bool {
+	if fitness == Fit {
+		w.lastFit = now
 	}
-	fit := f == Fit || (f == Unknown && now.Sub(w.fitAt) < RenewEvery)
+	fit := fitness == Fit || (fitness == Unknown && now.Sub(w.lastFit) < RenewEvery)
 	if !answered {
 		return fit
 	}
 	if listed {
-		return f != Unfit
+		return fitness != Unfit
 	}
-	lost := w.lostAt
+	lost := w.sourceLostAt
 	if at := w.cfg.SourceLost(); at.After(lost) {
 		lost = at
 	}
-	return fit && !lost.IsZero() && now.Sub(lost) < relistTime
+	return fit && !lost.IsZero() && now.Sub(lost) < relistGrace
 }
--- a/vouch/witness_test.go
+++ b/vouch/witness_test.go
@@ -11,107 +11,105 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var errAway = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// world is the source and the target as one node finds them.
-type world struct {
-	listed   bool
-	answers  bool // the source, to this node
-	fit      Fitness
-	lost     time.Time // as the node's other questions told
-	asked    int       // of the source
-	takes    time.Duration
-	instance directory.Instance
+// fakeEnv simulates the source and the target as seen by one node.
+type fakeEnv struct {
+	listed          bool
+	sourceReachable bool // by this node
+	fitness         Fitness
+	sourceLost      time.Time // last failure of other requests to the source
+	lookups         int       // number of Listed calls
+	sourceLatency   time.Duration
+	instance        directory.Instance
 }
 
-func (w *world) witness() *Witness {
-	wt := NewWitness(Config{
+func (e *fakeEnv) newWitness() *Witness {
+	witness := NewWitness(Config{
 		Listed: func(ctx context.Context, _ directory.InstanceID) (bool, error) {
-			w.asked++
-			if !w.answers {
-				return false, errAway
+			e.lookups++
+			if !e.sourceReachable {
+				return false, errNoAnswer
 			}
 			select {
-			case <-time.After(w.takes):
-				return w.listed, nil
+			case <-time.After(e.sourceLatency):
+				return e.listed, nil
 			case <-ctx.Done():
 				return false, ctx.Err()
 			}
 		},
-		Probe:      func(context.Context, directory.Instance) Fitness { return w.fit },
-		SourceLost: func() time.Time { return w.lost },
+		Probe:      func(context.Context, directory.Instance) Fitness { return e.fitness },
+		SourceLost: func() time.Time { return e.sourceLost },
 	})
-	wt.See(w.instance)
-	return wt
+	witness.See(e.instance)
+	return witness
 }
 
-func calm() *world {
-	return &world{listed: true, answers: true, fit: Fit, instance: directory.Instance{ID: "i", Started: 1000, Service: "s", Slots: 4}}
+func newFakeEnv() *fakeEnv {
+	return &fakeEnv{listed: true, sourceReachable: true, fitness: Fit, instance: directory.Instance{ID: "i", Started: 1000, Service: "s", Slots: 4}}
 }
 
-func (w *world) start() directory.Start { return w.instance.Start() }
+func (e *fakeEnv) start() directory.Start { return e.instance.Start() }
 
-// Entries go for several reasons, and all look the same to other nodes: a VM
-// cut off from the store, a VM that the store turns away, an instance that
-// leaves without a word, a crash, a restart.
-func TestANodeVouchesOnlyWithGrounds(t *testing.T) {
+// Entries are removed for several reasons that look the same to other nodes:
+// network cuts, rejections, unannounced exits, crashes and restarts.
+func TestVouchDecisions(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		set  func(*world)
+		set  func(*fakeEnv)
 		want bool
 	}{
-		{"listed after all", func(*world) {}, true},
-		{"removed while the source answers", func(w *world) { w.listed = false }, false},
-		{"the source is out of reach", func(w *world) { w.answers, w.listed = false, false }, true},
-		{"the source is too slow to tell", func(w *world) { w.takes = time.Minute }, true},
-		{"out of reach, and the instance drains", func(w *world) { w.answers, w.fit = false, Unfit }, false},
-		{"out of reach, and the instance does not say", func(w *world) { w.answers, w.fit = false, Unknown }, false},
-		{"back in reach just now", func(w *world) { w.listed, w.lost = false, time.Now().Add(-time.Second) }, true},
-		{"back in reach, and the instance drains", func(w *world) { w.listed, w.fit, w.lost = false, Unfit, time.Now() }, false},
-		{"back in reach long enough to be listed", func(w *world) { w.listed, w.lost = false, time.Now().Add(-relistTime) }, false},
+		{"still listed", func(*fakeEnv) {}, true},
+		{"removed while the source answers", func(e *fakeEnv) { e.listed = false }, false},
+		{"the source is unreachable", func(e *fakeEnv) { e.sourceReachable, e.listed = false, false }, true},
+		{"the source exceeds the timeout", func(e *fakeEnv) { e.sourceLatency = time.Minute }, true},
+		{"unreachable, and the instance drains", func(e *fakeEnv) { e.sourceReachable, e.fitness = false, Unfit }, false},
+		{"unreachable, and the probe is inconclusive", func(e *fakeEnv) { e.sourceReachable, e.fitness = false, Unknown }, false},
+		{"reachable again just now", func(e *fakeEnv) { e.listed, e.sourceLost = false, time.Now().Add(-time.Second) }, true},
+		{"reachable again, and the instance drains", func(e *fakeEnv) { e.listed, e.fitness, e.sourceLost = false, Unfit, time.Now() }, false},
+		{"reachable again for long enough to be listed", func(e *fakeEnv) { e.listed, e.sourceLost = false, time.Now().Add(-relistGrace) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
-				w := calm()
-				c.set(w)
-				So(w.witness().Vouch(t.Context(), w.start()), ShouldEqual, c.want)
+				e := newFakeEnv()
+				c.set(e)
+				So(e.newWitness().Vouch(t.Context(), e.start()), ShouldEqual, c.want)
 			})
 		})
 	}
 }
 
-func TestANodeVouchesForNothingItHasNotSeen(t *testing.T) {
+func TestVouchRequiresSeenStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Nor for another start, nor for one that leaves", t, func() {
-			w := calm()
-			So(NewWitness(Config{}).Vouch(t.Context(), w.start()), ShouldBeFalse)
-			wt := w.witness()
-			So(wt.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
-			So(wt.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
-			So(wt.Vouch(t.Context(), w.start()), ShouldBeTrue)
-			w.instance.Leaving = true
-			wt.See(w.instance)
-			So(wt.Vouch(t.Context(), w.start()), ShouldBeFalse)
+		Convey("Neither an unseen, another nor a leaving start is vouched for", t, func() {
+			e := newFakeEnv()
+			So(NewWitness(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
+			witness := e.newWitness()
+			So(witness.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
+			So(witness.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
+			So(witness.Vouch(t.Context(), e.start()), ShouldBeTrue)
+			e.instance.Leaving = true
+			witness.See(e.instance)
+			So(witness.Vouch(t.Context(), e.start()), ShouldBeFalse)
 		})
 	})
 }
 
-// An entry lapses, and every node that uses the instance asks in the same
-// moment and again each half second. The source and the target must not pay
-// for each of them.
-func TestAllThatAskShareOneLook(t *testing.T) {
+// All nodes that use an instance ask for a vouch at the same time and on
+// every renewal. They must share the load on the source and the target.
+func TestConcurrentVouchesShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A hundred nodes for two seconds are five looks at most", t, func() {
-			w := calm()
-			w.takes = 100 * time.Millisecond
-			wt := w.witness()
+		Convey("A hundred nodes cause at most five checks in two seconds", t, func() {
+			e := newFakeEnv()
+			e.sourceLatency = 100 * time.Millisecond
+			witness := e.newWitness()
 			for range 4 {
 				for range 100 {
-					go wt.Vouch(t.Context(), w.start())
+					go witness.Vouch(t.Context(), e.start())
 				}
 				time.Sleep(RenewEvery)
 			}
-			So(w.asked, ShouldBeLessThanOrEqualTo, 5)
+			So(e.lookups, ShouldBeLessThanOrEqualTo, 5)
 		})
 	})
 }
