--- a/budget/chain_test.go
+++ b/budget/chain_test.go
@@ -9,16 +9,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// tier is one service of a chain of calls, with the windows of the nodes that
-// send to it and what arrived there.
+// tier is one service of a call chain: the retry windows of the nodes that
+// call it, and the requests that arrived.
 type tier struct {
 	senders  []*Window
 	requests int
-	repeats  int
+	retries  int
 }
 
-// chainOfTiers is a deployment of depth services, each called by the one
-// above it, over so many nodes.
+// chainOfTiers returns a chain of depth services, each called by the one
+// before it from the given number of nodes.
 func chainOfTiers(depth, nodes int, cfg WindowConfig) []*tier {
 	var tiers []*tier
 	for range depth {
@@ -31,56 +31,55 @@
 	return tiers
 }
 
-// send makes one request to the first of the tiers, of whose answers a part
-// is lost; one that is lost is made again if the window allows it. repeat
-// says that the request comes of a repeated one.
-func send(r *rand.Rand, tiers []*tier, lost float64, repeat bool) {
+// send sends one request to the first tier. Its response is lost with
+// probability lossRate, and a lost request is retried if the window allows
+// it. isRetry means that the request descends from a retry.
+func send(r *rand.Rand, tiers []*tier, lossRate float64, isRetry bool) {
 	if len(tiers) == 0 {
 		return
 	}
 	t := tiers[0]
-	// What is repeated is served by the sound instances, a quarter of all:
-	// the calls it makes come from their nodes alone.
+	// Retries are served by the healthy quarter of the instances, so the
+	// calls they make come from the nodes of those only.
 	i := r.IntN(len(t.senders) * 3 / 4)
-	if repeat {
+	if isRetry {
 		i = len(t.senders) - 1 - i/3
 	}
 	w := t.senders[i]
 	t.requests++
-	if repeat {
-		t.repeats++
+	if isRetry {
+		t.retries++
 		w.Inherit()
 	} else {
 		w.First()
 	}
-	send(r, tiers[1:], lost, repeat)
-	if r.Float64() < lost && w.Repeat() {
-		t.repeats++
-		send(r, tiers[1:], lost, true)
+	send(r, tiers[1:], lossRate, isRetry)
+	if r.Float64() < lossRate && w.Repeat() {
+		t.retries++
+		send(r, tiers[1:], lossRate, true)
 	}
 }
 
-// Three quarters of all instances lose answers, four calls deep. Operators
-// allow a fifth of the requests to be repeats, at each service and over all
-// nodes. Repeated requests end up at the sound instances, whose nodes send
-// their calls and repeat nothing; the nodes of the others have sent first
-// tries only and repeat all they may. So at the last service the repeats of
-// all four add up, and a bound of more than a quarter of what is allowed
-// breaks it.
-func TestRepeatsOfAChainUseWhatIsAllowedAndNoMore(t *testing.T) {
+// Three quarters of the instances lose responses, in a chain four calls
+// deep. Nodes with healthy instances send the calls made by retries and need
+// no retries of their own, while the other nodes see only first tries and
+// use their full ratio. So the retries of all tiers add up at the last one,
+// and the ratio per node must be at most a quarter of the limit of a fifth per
+// service.
+func TestRetriesOfCallChainStayWithinRatio(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Each tier's repeats stay under a fifth, and what a node may send it sends", t, func() {
+		Convey("Retries stay under a fifth at each tier, and nodes use the allowed ratio", t, func() {
 			r := rand.New(rand.NewPCG(1, 2))
-			// The product's own settings, which this package does not know.
+			// The ratio and slack of the production configuration.
 			tiers := chainOfTiers(4, 16, WindowConfig{Span: 10 * time.Second, Ratio: 0.05, Slack: 2})
 			for range 20000 {
 				send(r, tiers, 0.4, false)
 				time.Sleep(time.Millisecond)
 			}
 			for _, t := range tiers {
-				So(float64(t.repeats), ShouldBeLessThan, 0.2*float64(t.requests))
+				So(float64(t.retries), ShouldBeLessThan, 0.2*float64(t.requests))
 			}
-			So(float64(tiers[0].repeats), ShouldBeGreaterThan, 0.045*float64(tiers[0].requests))
+			So(float64(tiers[0].retries), ShouldBeGreaterThan, 0.045*float64(tiers[0].requests))
 		})
 	})
 }
--- a/budget/doc.go
+++ b/budget/doc.go
@@ -1,4 +1,5 @@
-// Package budget keeps the retry budget of each request in flight at a node,
-// so that the retries one request causes over all its hops stay within the
-// bound the configuration text sets.
+// Package budget limits retries: Ledger tracks the retry budget of each
+// request in flight at a node, so that the retries caused by one request
+// over all of its hops stay within the configured limit, and Window limits
+// the share of retries in the requests to a service.
 package budget
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -4,17 +4,15 @@
 	"sync"
 )
 
-// Hop names one invocation of a request at one node; the node hands it to
-// its target, and the target's outbound calls carry it back.
+// Hop identifies one invocation of a request at one node. The node passes it
+// to its target, whose outbound calls carry it back.
 type Hop string
 
-// Ledger holds the retries left for each hop in flight.
-//
-// A hop's budget is leased whole to one outbound call at a time and the
-// unspent part given back when the call returns; a call made while the
-// budget is out gets none. So concurrent calls of one hop cannot spend the
-// same retry twice, and the sum over a request's tree never exceeds what
-// the first node was given.
+// Ledger holds the remaining retries of each hop in flight. The whole budget
+// of a hop is leased to one outbound call at a time, and the unspent part is
+// returned when the call ends; calls made meanwhile get none. So concurrent
+// calls cannot spend the same retry twice, and the sum over a request's call
+// tree never exceeds the initial budget. It is safe for concurrent use.
 type Ledger struct {
 	mu   sync.Mutex
 	hops map[Hop]int
@@ -23,15 +21,15 @@
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{hops: map[Hop]int{}} }
 
-// Open starts a hop with n retries.
+// Open registers a hop with n retries.
 func (l *Ledger) Open(h Hop, n int) {
 	l.mu.Lock()
 	l.hops[h] = n
 	l.mu.Unlock()
 }
 
-// Lease takes the whole budget of h, leaving none until Return; a hop that
-// is not open has none.
+// Lease takes the whole budget of h, leaving none until Return. It returns 0
+// if h is not open.
 func (l *Ledger) Lease(h Hop) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,7 +49,7 @@
 	}
 }
 
-// Close ends h and returns the retries it had left.
+// Close removes h and returns its remaining retries.
 func (l *Ledger) Close(h Hop) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/budget/ledger_test.go
+++ b/budget/ledger_test.go
@@ -6,10 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// One hop of a request makes many calls to its dependencies, some at once.
-// If each call could spend the hop's whole budget, a fan-out of ten would
-// cause ten times the retries the text allows. Random leases, spends and
-// returns must never let the hop spend more than it was given.
+// Guards against retry amplification: with a random sequence of leases,
+// spends and returns, the calls of one hop must never spend more than its
+// budget in total.
 func TestLedgerNeverSpendsMoreThanOpened(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
--- a/budget/window.go
+++ b/budget/window.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// windowParts is how many parts a Window's time is kept in: the sums are
-// exact to a tenth of the window.
-const windowParts = 10
+// windowBuckets is the number of buckets of a Window, which sets the
+// resolution of its sums to a tenth of its span.
+const windowBuckets = 10
 
 type (
-	// WindowConfig is what a Window is built from.
+	// WindowConfig configures a Window.
 	WindowConfig struct {
-		Span  time.Duration // sliding time over which repeats are bounded
-		Ratio float64       // repeats allowed for each first try
-		Slack float64       // repeats allowed besides
+		Span  time.Duration // length of the sliding window
+		Ratio float64       // retries allowed per first try
+		Slack float64       // retries allowed in addition
 	}
 
-	// Window bounds the repeats that one node sends to one service over a
-	// sliding time, from what it has itself sent there: a bound that holds
-	// over all nodes when each holds its part, whether or not they reach
-	// each other.
+	// Window limits the retries that one node sends to one service over a
+	// sliding window, in proportion to the first tries that it sent. As each
+	// node limits its own retries, the limit holds for all nodes without
+	// coordination. It is safe for concurrent use.
 	Window struct {
 		cfg WindowConfig
 
-		mu    sync.Mutex
-		parts [windowParts]part
+		mu      sync.Mutex
+		buckets [windowBuckets]bucket
 	}
 
-	part struct {
-		n       int64 // which part of time this is
-		firsts  float64
-		repeats float64
+	bucket struct {
+		index      int64 // time since the Unix epoch in units of the bucket length
+		firstTries float64
+		retries    float64
 	}
 )
 
@@ -42,54 +42,55 @@
 func (w *Window) First() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.now().firsts++
+	w.current().firstTries++
 }
 
-// Inherit counts a request that a repeated request makes: it is a repeat too,
-// but refusing it would waste what has run. It takes room from repeats of
-// this service's own.
+// Inherit counts a request made while processing a retry. It counts as a
+// retry, reducing the room for others, but is never refused, since that
+// would waste the work already done.
 func (w *Window) Inherit() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.now().repeats++
+	w.current().retries++
 }
 
-// Repeat counts one repeat if it is allowed and reports whether it is.
+// Repeat reports whether a retry is allowed and counts it if so.
 func (w *Window) Repeat() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	now := w.now()
-	if !w.room(now) {
+	cur := w.current()
+	if !w.allowed(cur) {
 		return false
 	}
-	now.repeats++
+	cur.retries++
 	return true
 }
 
-// Room reports whether a repeat would be allowed now.
+// Room reports whether a retry would be allowed now.
 func (w *Window) Room() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.room(w.now())
+	return w.allowed(w.current())
 }
 
-func (w *Window) room(now *part) bool {
-	var firsts, repeats float64
-	for _, p := range w.parts {
-		if now.n-p.n < windowParts {
-			firsts += p.firsts
-			repeats += p.repeats
+func (w *Window) allowed(cur *bucket) bool {
+	var firstTries, retries float64
+	for _, p := range w.buckets {
+		if cur.index-p.index < windowBuckets {
+			firstTries += p.firstTries
+			retries += p.retries
 		}
 	}
-	return repeats+1 <= w.cfg.Ratio*firsts+w.cfg.Slack
+	return retries+1 <= w.cfg.Ratio*firstTries+w.cfg.Slack
 }
 
-// now returns the part for this moment, emptied if it held an earlier one.
-func (w *Window) now() *part {
-	n := time.Now().UnixNano() / int64(w.cfg.Span/windowParts)
-	p := &w.parts[n%windowParts]
-	if p.n != n {
-		*p = part{n: n}
+// current returns the bucket of the current time, cleared if it held an
+// earlier one.
+func (w *Window) current() *bucket {
+	n := time.Now().UnixNano() / int64(w.cfg.Span/windowBuckets)
+	p := &w.buckets[n%windowBuckets]
+	if p.index != n {
+		*p = bucket{index: n}
 	}
 	return p
 }
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -8,12 +8,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A service's instances fail in a row, and every request wants a second one.
-// Repeats must stay within the ratio of what was sent there in the window,
-// however long that goes on, and calls of repeated requests count too.
-func TestRepeatsStayWithinTheirRatio(t *testing.T) {
+// Retries must stay within the ratio of first tries in any window, however
+// long a failure lasts, counting requests made by retries.
+func TestRetriesStayWithinRatio(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("In every span of the window's length", t, func() {
+		Convey("Within any window", t, func() {
 			w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.1, Slack: 2})
 			var at []time.Time
 			for i := range 3000 {
