--- a/directory/backoff.go
+++ b/directory/backoff.go
@@ -7,34 +7,33 @@
 )
 
 const (
-	// leastBackoff and mostBackoff bound the pause before asking a source that
-	// failed again. Every refused call is priced too; the upper bound keeps
-	// a node within two seconds of a configuration after the source is back.
-	leastBackoff = 50 * time.Millisecond
-	mostBackoff  = time.Second
+	// minBackoff and maxBackoff bound the pause before a failed call is
+	// repeated.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// Backoff is how long to pause before the next try; it doubles with each
-// failure. The zero value begins at the least.
+// Backoff is an exponential backoff with jitter. The zero value starts at the
+// minimum. It is not safe for concurrent use.
 type Backoff struct {
 	next time.Duration
 }
 
-// Next returns how long to pause now: about the next time, spread so that
-// nodes that failed together do not ask again together.
+// Next returns the next delay and doubles the one after it. The jitter of half
+// the delay either way keeps nodes that failed together from retrying together.
 func (b *Backoff) Next() time.Duration {
-	d := max(b.next, leastBackoff)
-	b.next = min(2*d, mostBackoff)
+	d := max(b.next, minBackoff)
+	b.next = min(2*d, maxBackoff)
 	return d/2 + rand.N(d)
 }
 
-// Wait pauses for the next time, or until ctx ends.
+// Wait pauses for the next delay, or until ctx ends.
 func (b *Backoff) Wait(ctx context.Context) { Pause(ctx, b.Next()) }
 
-// Reset begins anew after a success.
+// Reset returns to the minimum delay after a success.
 func (b *Backoff) Reset() { b.next = 0 }
 
-// Pause waits for a time or ctx's end.
+// Pause waits for d, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/directory/codec.go
+++ b/directory/codec.go
@@ -11,25 +11,27 @@
 )
 
 type (
-	// encoded is a Delta between nodes.
-	encoded struct {
-		After     Revision              `msgpack:"after"`
-		Revision  Revision              `msgpack:"revision"`
-		Age       time.Duration         `msgpack:"age"`
-		Version   callgraph.Version     `msgpack:"version"` // 0 without routes
-		Limits    Limits                `msgpack:"limits"`
-		Services  message.List[Service] `msgpack:"services"`
-		Routes    message.List[Route]   `msgpack:"routes"`
-		Instances message.List[entry]   `msgpack:"instances"`
-		Gone      message.List[Removal] `msgpack:"gone"`
-		// Accounted says that callers need one of the accounts.
+	// wireDelta is the msgpack form of a Delta.
+	wireDelta struct {
+		After     Revision                   `msgpack:"after"`
+		Revision  Revision                   `msgpack:"revision"`
+		Age       time.Duration              `msgpack:"age"`
+		Version   callgraph.Version          `msgpack:"version"` // 0 without routes
+		Limits    Limits                     `msgpack:"limits"`
+		Services  message.List[Service]      `msgpack:"services"`
+		Routes    message.List[Route]        `msgpack:"routes"`
+		Instances message.List[wireInstance] `msgpack:"instances"`
+		Gone      message.List[Removal]      `msgpack:"gone"`
+		// Accounted distinguishes routes with an empty list of accounts from
+		// routes that need no account.
 		Accounted bool                          `msgpack:"accounted,omitempty"`
 		Accounts  message.List[account.Account] `msgpack:"accounts,omitempty"`
 	}
 
-	// entry is an Instance as listed; its fields go by their place, which
-	// halves a whole list of a hundred bytes an instance.
-	entry struct {
+	// wireInstance is the msgpack form of an Instance. It is an array, so the
+	// order of the fields is the wire format; field names would double its
+	// size.
+	wireInstance struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		ID       InstanceID
 		Started  UnixMilli
@@ -44,11 +46,11 @@
 	}
 )
 
-// Encode returns a delta as msgpack.
+// Encode returns the msgpack form of a delta.
 func Encode(x Delta) ([]byte, error) {
-	e := encoded{After: x.After, Revision: x.Revision, Age: x.Age, Gone: x.Gone}
+	e := wireDelta{After: x.After, Revision: x.Revision, Age: x.Age, Gone: x.Gone}
 	for _, in := range x.Instances {
-		e.Instances = append(e.Instances, entry{ID: in.ID, Started: in.Started, Service: in.Service, DC: in.DC, Addr: in.Addr,
+		e.Instances = append(e.Instances, wireInstance{ID: in.ID, Started: in.Started, Service: in.Service, DC: in.DC, Addr: in.Addr,
 			Slots: in.Slots, Leaving: in.Leaving, ColdTill: in.ColdTill, Since: in.Since, Revision: in.Revision})
 	}
 	if x.Routes != nil {
@@ -64,10 +66,10 @@
 	return b, eris.Wrap(err, "encode delta")
 }
 
-// Decode reads what Encode wrote; routes that do not hold together are an
-// error that wraps ErrInvalidRoutes.
+// Decode parses the output of Encode. The error wraps ErrInvalidRoutes if the
+// routes are invalid.
 func Decode(b []byte) (Delta, error) {
-	var e encoded
+	var e wireDelta
 	if err := msgpack.Unmarshal(b, &e); err != nil {
 		return Delta{}, eris.Wrap(err, "decode delta")
 	}
@@ -84,8 +86,8 @@
 	return x, err
 }
 
-// routes puts together the version of the routes that was told.
-func (e *encoded) routes() (*Routes, error) {
+// routes builds and validates the routes of the message.
+func (e *wireDelta) routes() (*Routes, error) {
 	r, err := NewRoutes(e.Version, e.Limits, e.Routes)
 	if err != nil {
 		return nil, err
@@ -100,8 +102,8 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (e *entry) DecodeMsgpack(d *msgpack.Decoder) error {
-	*e = entry{}
+func (e *wireInstance) DecodeMsgpack(d *msgpack.Decoder) error {
+	*e = wireInstance{}
 	return message.Decode(d, (*string)(&e.ID), (*int64)(&e.Started), &e.Service, (*string)(&e.DC), &e.Addr, &e.Slots,
 		&e.Leaving, &e.ColdTill, (*uint64)(&e.Since), (*uint64)(&e.Revision))
 }
--- a/directory/versions_test.go
+++ b/directory/codec_test.go
@@ -10,8 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// sentDelta is what testdata/former/delta.hex has from the version before.
-func sentDelta(t testing.TB) Delta {
+// goldenDelta is the decoded content of testdata/former/delta.hex, which the
+// previous version encoded.
+func goldenDelta(t testing.TB) Delta {
 	r, err := NewRoutes(42, Limits{HeaderBytes: 1, BodyBytes: 2, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, []Route{
 		{Name: "read", Host: "h", Prefix: "/read/", Shares: []Share{{Service: "archiv", Weight: 9}, {Service: "entwurf", Weight: 1}}, Idempotent: true,
 			Timeout: time.Second, TargetLatency: time.Millisecond, MaxInstances: 2, Priority: 3}})
@@ -24,11 +25,11 @@
 			ColdTill: time.Unix(1788000000, 5000).UTC(), Since: 4, Revision: 299}}}}
 }
 
-// Nodes learn routes and instances from each other. One of the version before
-// must neither miss what ours tell nor keep ours from what it knows.
-func TestDeltasOfTheVersionBeforeAreOurs(t *testing.T) {
-	Convey("Its delta is read whole, and ours is the same to it", t, func() {
-		want := sentDelta(t)
+// Nodes of the previous version exchange deltas with this one, so the encoding
+// must not change.
+func TestPreviousVersionDeltaIsCompatible(t *testing.T) {
+	Convey("Its delta is decoded completely, and is encoded to the same bytes", t, func() {
+		want := goldenDelta(t)
 		got, err := Decode(messagetest.Former(t, "delta"))
 		So(err, ShouldBeNil)
 		got.Instances[0].ColdTill = got.Instances[0].ColdTill.UTC()
@@ -39,7 +40,8 @@
 	})
 }
 
-// FuzzDelta: whatever another node tells, it is an error or can be told on.
+// FuzzDelta checks that any input is rejected or can be encoded and decoded
+// again.
 func FuzzDelta(f *testing.F) {
 	f.Add(messagetest.Former(f, "delta"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -52,17 +54,17 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(out); err != nil {
-			t.Fatalf("%x is read, and not when it is told on: %v", b, err)
+			t.Fatalf("%x was decoded, but not after it was encoded again: %v", b, err)
 		}
 	})
 }
 
-// Accounts are told with the version that has them, and so is that there are
-// none: a node that took that for no need of a key would let everybody in.
-func TestAccountsAreToldWithTheirVersion(t *testing.T) {
-	Convey("As they are, also where there are none", t, func() {
+// An empty list of accounts must stay distinct from routes without accounts: a
+// node that confuses them would admit every caller.
+func TestAccountsAreEncodedWithRoutes(t *testing.T) {
+	Convey("Accounts survive encoding, also an empty list", t, func() {
 		for _, all := range [][]account.Account{nil, {}, {{Name: "a", Keys: []account.Digest{account.DigestOf("k")}, Priority: 1, Rate: 2.5, Burst: 3}, {Name: "b"}}} {
-			x := sentDelta(t)
+			x := goldenDelta(t)
 			x.Routes.Accounts = nil
 			if all != nil {
 				b, err := account.NewBook(all)
@@ -83,8 +85,8 @@
 			}
 		}
 	})
-	Convey("Those that do not hold together are no version", t, func() {
-		x := sentDelta(t)
+	Convey("Invalid accounts are an error", t, func() {
+		x := goldenDelta(t)
 		b, err := account.NewBook([]account.Account{{Name: "a"}, {Name: "b"}})
 		So(err, ShouldBeNil)
 		b.All()[1].Name = "a"
@@ -96,12 +98,12 @@
 	})
 }
 
-// A route says that it has two billion shares, or an account as many keys, and
-// the message ends there.
-func TestNestedListsAreNoLongerThanTheirMessage(t *testing.T) {
+// A truncated message that declares a list of two billion elements must be
+// rejected without allocating them.
+func TestNestedListLengthIsBoundedByMessage(t *testing.T) {
 	many := []byte{0xdd, 0x7f, 0xff, 0xff, 0xff}
 	for _, c := range []struct{ name, list, field string }{{"shares", "routes", "Shares"}, {"keys", "accounts", "Keys"}} {
-		Convey("Of "+c.name, t, func() {
+		Convey("List of "+c.name, t, func() {
 			b := []byte{0x81, byte(0xa0 + len(c.list))}
 			b = append(b, c.list...)
 			b = append(b, 0x91, 0x81, byte(0xa0+len(c.field)))
--- a/directory/delta.go
+++ b/directory/delta.go
@@ -5,70 +5,71 @@
 	"time"
 )
 
-// goneKept is how many removals a node can tell others of. A node that asks
-// each second lacks a handful; all VMs of a data centre lost at the planned
-// size are under two hundred.
-const goneKept = 1024
+// maxRemovals is how many removals are kept for deltas to other nodes. A node
+// that lacks more gets the whole state.
+const maxRemovals = 1024
 
 type (
-	// Removal is an entry that went.
+	// Removal is an entry that was removed at a revision.
 	Removal struct {
 		ID InstanceID
 		At Revision
 	}
 
-	// Delta is what a node that knows everything up to a revision lacks of
-	// what another knows.
+	// Delta is the difference between the state at revision After and the state
+	// that the sending node holds.
 	Delta struct {
 		Snapshot
-		After Revision // 0 where the Snapshot is whole, and what it lacks is gone
+		After Revision // 0 if Snapshot is complete; entries missing from it were removed
 		Gone  []Removal
-		Age   time.Duration // how old this may be
+		Age   time.Duration // upper bound for the age of the state
 	}
 
-	// removals are the latest removals, of each id the last.
+	// removals holds the revision of the latest removal of each instance,
+	// bounded by maxRemovals.
 	removals struct {
-		at map[InstanceID]Revision
-		// floor is the revision up to which some are not known, or forgotten.
-		floor Revision
+		revisions map[InstanceID]Revision
+		// completeAfter is the revision up to which removals may be missing.
+		completeAfter Revision
 	}
 )
 
-func newRemovals() removals { return removals{at: map[InstanceID]Revision{}} }
+func newRemovals() removals { return removals{revisions: map[InstanceID]Revision{}} }
 
-func (r *removals) add(id InstanceID, at Revision) {
-	r.at[id] = max(r.at[id], at)
-	if len(r.at) <= goneKept {
+func (r *removals) add(id InstanceID, revision Revision) {
+	r.revisions[id] = max(r.revisions[id], revision)
+	if len(r.revisions) <= maxRemovals {
 		return
 	}
 	oldest := id
-	for o, at := range r.at {
-		if at < r.at[oldest] {
-			oldest = o
+	for other, revision := range r.revisions {
+		if revision < r.revisions[oldest] {
+			oldest = other
 		}
 	}
-	r.floor = max(r.floor, r.at[oldest])
-	delete(r.at, oldest)
+	r.completeAfter = max(r.completeAfter, r.revisions[oldest])
+	delete(r.revisions, oldest)
 }
 
-// Since returns what is known here beyond a revision, for another node. What
-// is kept here though it is not listed is this node's own belief.
+// Since returns what is known here beyond a revision, for another node.
+// Unlisted instances are omitted: each node decides by itself whether to keep
+// them. It is safe for concurrent use.
 func (d *Directory) Since(after Revision) Delta {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(after)
+	return d.sinceLocked(after)
 }
 
-func (d *Directory) since(after Revision) Delta {
-	x := Delta{Snapshot: Snapshot{Revision: d.revision}, Age: d.contact.age(time.Now())}
-	if after >= d.gone.floor && after <= d.revision {
+func (d *Directory) sinceLocked(after Revision) Delta {
+	x := Delta{Snapshot: Snapshot{Revision: d.revision}, Age: d.source.age(time.Now())}
+	if after >= d.removals.completeAfter && after <= d.revision {
 		x.After = after
 	}
 	if after > d.revision {
-		x.After = d.revision // nothing that the other does not know
+		x.After = d.revision // the other node is ahead
 		return x
 	}
-	if x.After == 0 || d.routesAt > x.After {
+	if x.After == 0 || d.routesRevision > x.After {
 		x.Routes = d.routes
 	}
 	for id, in := range d.instances {
@@ -79,7 +80,7 @@
 	if x.After == 0 {
 		return x
 	}
-	for id, at := range d.gone.at {
+	for id, at := range d.removals.revisions {
 		if at > x.After {
 			x.Gone = append(x.Gone, Removal{ID: id, At: at})
 		}
@@ -87,8 +88,8 @@
 	return x
 }
 
-// Await is like Since, and waits for something beyond the revision for some
-// time, or until ctx ends.
+// Await is like Since, but waits until something beyond the revision is known,
+// wait has passed or ctx ends.
 func (d *Directory) Await(ctx context.Context, after Revision, wait time.Duration) Delta {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -96,12 +97,12 @@
 		d.mu.Lock()
 		if d.listed && d.revision > after {
 			defer d.mu.Unlock()
-			return d.since(after)
+			return d.sinceLocked(after)
 		}
-		moved := d.moved
+		advanced := d.advanced
 		d.mu.Unlock()
 		select {
-		case <-moved:
+		case <-advanced:
 		case <-t.C:
 			return d.Since(after)
 		case <-ctx.Done():
@@ -110,31 +111,32 @@
 	}
 }
 
-// Learn takes over what another node told, if it is newer than what is known
-// here, and reports whether it was. A watch goes on from there.
+// Learn applies a delta from another node if it is newer than the state held
+// here, and reports whether it was. A watch in progress is restarted from the
+// new revision. It is safe for concurrent use.
 func (d *Directory) Learn(x Delta) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if x.After > d.revision {
-		return false // what lies between is not known here
+		return false // applying it would skip the changes in between
 	}
-	d.told(x.Age)
+	d.recordPeerAge(x.Age)
 	if x.Revision <= d.revision {
 		return false
 	}
 	if x.After == 0 {
-		d.replace(x.Snapshot)
+		d.replaceLocked(x.Snapshot)
 	} else {
-		d.apply(x.changes(), x.Revision)
+		d.applyLocked(x.changes(), x.Revision)
 	}
 	select {
-	case d.jumped <- struct{}{}:
+	case d.learned <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// changes returns a delta's contents as a source would tell them.
+// changes returns the contents of a delta as changes of a source.
 func (x *Delta) changes() []Change {
 	cs := make([]Change, 0, len(x.Instances)+len(x.Gone)+1)
 	if x.Routes != nil {
--- a/directory/delta_test.go
+++ b/directory/delta_test.go
@@ -11,30 +11,29 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A node that asks each second gets what changed and no more: a whole list at
-// each change would be 100 KB to each of a thousand nodes.
-func TestADeltaHasWhatChangedAndNoMore(t *testing.T) {
-	Convey("From a revision on", t, func() {
-		d := New(Usual(quiet))
-		d.Replace(Snapshot{Revision: 9, Routes: routesOf(t, 3), Instances: []Instance{instance("a", 3), instance("b", 4), instance("c", 5)}})
-		b := instance("b", 11)
+// Guards against whole lists being sent at each change.
+func TestDeltaContainsOnlyChanges(t *testing.T) {
+	Convey("A delta from a revision", t, func() {
+		d := New(Usual(discardLog))
+		d.Replace(Snapshot{Revision: 9, Routes: testRoutes(t, 3), Instances: []Instance{testInstance("a", 3), testInstance("b", 4), testInstance("c", 5)}})
+		b := testInstance("b", 11)
 		d.Apply([]Change{{Instance: &b}, {Gone: "c", GoneAt: 12}}, 12)
 		x := d.Since(10)
 		So(x.Routes, ShouldBeNil)
 		So(x.Instances, ShouldHaveLength, 1)
 		So(x.Instances[0].ID, ShouldEqual, InstanceID("b"))
 		So(x.Gone, ShouldResemble, []Removal{{ID: "c", At: 12}})
-		Convey("Nothing for one that knows more", func() {
+		Convey("Is empty for a node that is ahead", func() {
 			x := d.Since(13)
 			So(x.Instances, ShouldBeEmpty)
 			So(x.Gone, ShouldBeEmpty)
 		})
-		Convey("The routes for one that lacks them, everything for one that knows nothing", func() {
+		Convey("Contains the routes if they are newer, and everything from revision 0", func() {
 			So(d.Since(8).Routes, ShouldNotBeNil)
 			So(d.Since(0).Instances, ShouldHaveLength, 2)
 		})
-		Convey("Everything for one that lacks more removals than are kept", func() {
-			for i := range goneKept + 2 {
+		Convey("Is complete if removals were discarded", func() {
+			for i := range maxRemovals + 2 {
 				d.Apply([]Change{{Gone: InstanceID(fmt.Sprint("x", i)), GoneAt: Revision(20 + i)}}, Revision(20+i))
 			}
 			So(d.Since(12).After, ShouldEqual, 0)
@@ -43,28 +42,27 @@
 	})
 }
 
-// A delta that begins beyond what a node knows would leave a hole in its list
-// that nothing fills: it would say that it knows everything up to there.
-func TestADeltaThatLeavesAGapIsNotTakenOver(t *testing.T) {
+// A delta that starts beyond the known revision must not be applied, or the
+// changes in between would be lost.
+func TestDeltaWithGapIsRejected(t *testing.T) {
 	Convey("It changes nothing", t, func() {
-		d := New(Usual(quiet))
-		d.Replace(Snapshot{Revision: 5, Instances: []Instance{instance("a", 3)}})
-		x := Delta{After: 7, Snapshot: Snapshot{Revision: 9, Instances: []Instance{instance("b", 9)}}}
+		d := New(Usual(discardLog))
+		d.Replace(Snapshot{Revision: 5, Instances: []Instance{testInstance("a", 3)}})
+		x := Delta{After: 7, Snapshot: Snapshot{Revision: 9, Instances: []Instance{testInstance("b", 9)}}}
 		So(d.Learn(x), ShouldBeFalse)
 		So(d.Revision(), ShouldEqual, 5)
 		So(d.View().All(), ShouldHaveLength, 1)
 	})
 }
 
-// The store is away for all readers, drops every instance that could not
-// report, and comes back. A node that learns from them must hold the missing
-// entries as the readers do, and know that its own instance may have lapsed.
-func TestWhoLearnsFromOthersKnowsOfAnOutage(t *testing.T) {
+// The source is unreachable for all readers and then returns without entries
+// that expired. A node that learns from the readers must keep them as doubtful.
+func TestFollowerDetectsSourceOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Usual(quiet))
+		d := New(Usual(discardLog))
 		tell := func(age time.Duration, s Snapshot) { d.Learn(Delta{Snapshot: s, Age: age}) }
-		tell(0, Snapshot{Revision: 2, Instances: []Instance{instance("a", 1), instance("b", 2)}})
-		Convey("It takes the source for away after a while", t, func() {
+		tell(0, Snapshot{Revision: 2, Instances: []Instance{testInstance("a", 1), testInstance("b", 2)}})
+		Convey("The source is reported as away once the state is too old", t, func() {
 			So(d.SourceAway(), ShouldBeFalse)
 			for age := range 6 {
 				time.Sleep(time.Second)
@@ -72,7 +70,7 @@
 			}
 			So(d.SourceAway(), ShouldBeTrue)
 			So(d.SourceLost(), ShouldEqual, time.Now())
-			Convey("And keeps what is missing afterwards as doubtful", func() {
+			Convey("Entries missing after the outage are kept as doubtful", func() {
 				tell(0, Snapshot{Revision: 4})
 				So(d.SourceAway(), ShouldBeFalse)
 				time.Sleep(2 * time.Second)
@@ -84,39 +82,39 @@
 	})
 }
 
-// A reader's own calls fail while another node goes on telling it what the
-// store tells that one. Nothing is away then.
-func TestAReaderThatIsTurnedAwayGoesByWhatOthersTell(t *testing.T) {
+// The source rejects a reader while a peer still reaches it. The reader must
+// not report the source as away.
+func TestRejectedReaderUsesPeerDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Usual(quiet))
+		d := New(Usual(discardLog))
 		d.Back()
 		d.Replace(Snapshot{Revision: 2})
-		Convey("Away until told", t, func() {
-			d.Away(time.Now(), errors.New("turned away"))
+		Convey("The source is away until a peer sends a delta", t, func() {
+			d.Away(time.Now(), errors.New("rejected by the store"))
 			So(d.SourceAway(), ShouldBeTrue)
 			time.Sleep(300 * time.Millisecond)
 			d.Learn(Delta{After: 2, Snapshot: Snapshot{Revision: 2}})
 			So(d.SourceAway(), ShouldBeFalse)
 			So(d.Age(), ShouldEqual, 0)
-			time.Sleep(staleAfter + time.Millisecond)
+			time.Sleep(maxPeerAge + time.Millisecond)
 			So(d.SourceAway(), ShouldBeTrue)
 		})
 	})
 }
 
-// A question that waits is answered in the moment something is known.
-func TestAwaitAnswersWithTheFirstChange(t *testing.T) {
+// Guards against a long poll that does not return as soon as something changes.
+func TestAwaitReturnsOnFirstChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Usual(quiet))
+		d := New(Usual(discardLog))
 		d.Replace(Snapshot{Revision: 2})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			in := instance("a", 3)
+			in := testInstance("a", 3)
 			d.Apply([]Change{{Instance: &in}}, 3)
 		}()
 		began := time.Now()
 		x := d.Await(context.Background(), 2, time.Second)
-		Convey("Or when its time is up", t, func() {
+		Convey("Await returns on a change or when the wait ends", t, func() {
 			So(time.Since(began), ShouldEqual, 200*time.Millisecond)
 			So(x.Instances, ShouldHaveLength, 1)
 			began := time.Now()
@@ -126,17 +124,17 @@
 	})
 }
 
-// A reader starts, and reads everything after an instance was removed, so it
-// never knew that one. A node that still lists it asks the reader for what it
-// lacks: without the removal it would send requests to the address for ever.
-func TestWhoReadEverythingTellsOfRemovalsThatItNeverSaw(t *testing.T) {
-	Convey("By telling everything", t, func() {
-		behind := New(Usual(quiet))
-		leaving := instance("a", 3)
+// A reader loads the source after an instance was removed. A node that still
+// lists the instance must get the whole state from the reader, or it would keep
+// the instance for ever.
+func TestDeltaCoversRemovalsBeforeFirstLoad(t *testing.T) {
+	Convey("The delta is complete", t, func() {
+		behind := New(Usual(discardLog))
+		leaving := testInstance("a", 3)
 		leaving.Leaving = true
-		behind.Replace(Snapshot{Revision: 5, Instances: []Instance{leaving, instance("b", 4)}})
-		reader := New(Usual(quiet))
-		reader.Replace(Snapshot{Revision: 9, Instances: []Instance{instance("b", 4)}})
+		behind.Replace(Snapshot{Revision: 5, Instances: []Instance{leaving, testInstance("b", 4)}})
+		reader := New(Usual(discardLog))
+		reader.Replace(Snapshot{Revision: 9, Instances: []Instance{testInstance("b", 4)}})
 		So(behind.Learn(reader.Since(5)), ShouldBeTrue)
 		_, listed := behind.View().Find("a")
 		So(listed, ShouldBeFalse)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -9,173 +9,177 @@
 )
 
 const (
-	// outageLapse is how long the source must have been away for an entry
-	// missing afterwards to be in doubt: instances whose writes did not reach
-	// it were dropped meanwhile.
-	outageLapse = 1500 * time.Millisecond
-	// returnGrace is how long such an entry is kept as doubtful after the
-	// source is back. Live instances are back in the list within about two
-	// seconds; half a second covers the way here.
-	returnGrace = 2500 * time.Millisecond
-	// askGrace is how long any other entry that goes without having said that
-	// it leaves is kept as doubtful: the node beside the instance is asked
-	// meanwhile, and answers within a quarter of a second.
-	askGrace = 600 * time.Millisecond
+	// minOutage is the shortest outage of the source after which missing
+	// entries are kept as doubtful: the source may have expired instances whose
+	// reports did not reach it.
+	minOutage = 1500 * time.Millisecond
+	// outageGrace is how long such entries are kept once the source is back.
+	// Live instances are listed again within about two seconds.
+	outageGrace = 2500 * time.Millisecond
+	// unlistedGrace is how long an entry is kept as doubtful that was removed
+	// while the instance was not leaving. Meanwhile the node of the instance is
+	// asked to confirm it.
+	unlistedGrace = 600 * time.Millisecond
 )
 
 type (
-	// Change is one change of what a source lists; exactly one of its
-	// fields is set.
+	// Change is one change of what a source lists. Exactly one of Instance,
+	// Gone, Routes and Refused is set.
 	Change struct {
 		Instance *Instance
 		Gone     InstanceID
-		GoneAt   Revision // of Gone
+		GoneAt   Revision // revision of the removal, with Gone
 		Routes   *Routes
-		// Refused is the instance that an entry was listed for that cannot be
-		// read, or that is no instance's. It names none to use, and what was
-		// known under its id holds.
+		// Refused is the instance whose entry is invalid or cannot be decoded.
+		// What is known under its ID stays in use.
 		Refused InstanceID
 	}
 
-	// Snapshot is everything a source listed at a revision.
+	// Snapshot is everything that a source listed at a revision.
 	Snapshot struct {
 		Revision  Revision
 		Routes    *Routes
 		Instances []Instance
-		Refused   []InstanceID // as in a Change
+		Refused   []InstanceID // instances with invalid entries, as in Change
 	}
 
-	// Config is what a Directory is built from; the zero value keeps nothing
-	// that is not listed and spreads no watches.
+	// Config configures a Directory. With the zero value, removed entries are
+	// dropped at once and the first watch after a change is not spread; Log is
+	// required.
 	Config struct {
-		// AskGrace is how long an entry that goes without a word is kept while
-		// the node beside the instance is asked; 0 for not at all.
+		// AskGrace is how long an unlisted entry is kept as doubtful while the
+		// node of the instance is asked to confirm it; 0 drops it at once.
 		AskGrace time.Duration
-		// ReturnGrace is how long one is that is missing after an outage of
-		// the source; 0 for not at all.
+		// ReturnGrace is how long an entry is kept as doubtful that is missing
+		// after an outage of the source; 0 drops it at once.
 		ReturnGrace time.Duration
-		// Spread draws the watch after a change evenly from its whole time.
+		// Spread draws the duration of the first watch after a change at
+		// random, so that the watches of all nodes do not end together.
 		Spread bool
 		Log    log.Interface
 	}
 
-	// Directory keeps the newest knowledge of one deployment. It is safe for
+	// Directory holds the latest known state of one deployment. It is safe for
 	// concurrent use.
 	Directory struct {
 		cfg  Config
 		log  log.Interface
 		view atomic.Pointer[View]
 
-		mu        sync.Mutex // guards the fields below
-		routes    *Routes
-		instances map[InstanceID]Instance
-		unlisted  map[InstanceID]unlisted // kept all the same, for a while
-		gone      removals                // of late
-		contact   contact                 // with the source
-		graceEnds time.Time               // after an outage
-		listed    bool                    // a snapshot was applied
-		revision  Revision                // up to which everything is known
-		routesAt  Revision                // by which the routes in force were known
-		refused   int                     // entries, since the start
-		jumped    chan struct{}           // of one: revision moved on by another way than the watch
-		moved     chan struct{}           // closed when revision moves on
-		onChange  []func(*View)
+		mu             sync.Mutex // guards the following fields
+		routes         *Routes
+		instances      map[InstanceID]Instance
+		unlisted       map[InstanceID]unlisted // instances kept although their entries were removed
+		removals       removals
+		source         sourceStatus
+		graceEnds      time.Time     // end of the grace period after an outage
+		listed         bool          // a snapshot has been applied
+		revision       Revision      // everything up to it is known
+		routesRevision Revision      // revision at which the routes were known
+		invalidEntries int           // total since the start
+		learned        chan struct{} // capacity 1; signals that Learn advanced revision during a watch
+		advanced       chan struct{} // closed and replaced when revision advances
+		onChange       []func(*View)
 	}
 )
 
-// Usual is the configuration that is measured to serve best.
+// Usual returns the default configuration.
 func Usual(l log.Interface) Config {
-	return Config{AskGrace: askGrace, ReturnGrace: returnGrace, Spread: true, Log: l}
+	return Config{AskGrace: unlistedGrace, ReturnGrace: outageGrace, Spread: true, Log: l}
 }
 
-// New returns a Directory that knows nothing yet.
+// New returns an empty Directory.
 func New(cfg Config) *Directory {
-	d := &Directory{cfg: cfg, log: cfg.Log, instances: map[InstanceID]Instance{}, unlisted: map[InstanceID]unlisted{}, gone: newRemovals(),
-		jumped: make(chan struct{}, 1), moved: make(chan struct{})}
+	d := &Directory{cfg: cfg, log: cfg.Log, instances: map[InstanceID]Instance{}, unlisted: map[InstanceID]unlisted{}, removals: newRemovals(),
+		learned: make(chan struct{}, 1), advanced: make(chan struct{})}
 	d.view.Store(newView(nil, nil))
 	return d
 }
 
-// View returns what is known now.
+// View returns the current state. It is safe for concurrent use.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Listed reports whether a whole list of instances was ever read.
+// Listed reports whether a complete list of instances has been applied. It is
+// safe for concurrent use.
 func (d *Directory) Listed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listed
 }
 
-// OnChange calls f with every new view, one at a time; f must be quick.
+// OnChange registers f to be called with every new view. Calls do not overlap.
+// They are made with the Directory locked, so f must return quickly and must
+// not call back into it, except for View.
 func (d *Directory) OnChange(f func(*View)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.onChange = append(d.onChange, f)
 }
 
-// Replace takes over a snapshot: what it lacks is gone, or in doubt after an
-// outage of the source.
+// Replace applies a snapshot. Entries missing from it are removed, or kept as
+// doubtful after an outage of the source. It is safe for concurrent use.
 func (d *Directory) Replace(s Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.replace(s)
+	d.replaceLocked(s)
 }
 
-func (d *Directory) replace(s Snapshot) {
-	d.adopt(s.Routes, s.Revision)
-	known := d.revision
-	if s.Revision >= known {
-		known = 0 // nothing in it can have been removed since
+func (d *Directory) replaceLocked(s Snapshot) {
+	d.setRoutes(s.Routes, s.Revision)
+	knownTo := d.revision
+	if s.Revision >= knownTo {
+		knownTo = 0 // the snapshot is not older, so its entries were not removed since
 	}
-	there := map[InstanceID]bool{}
+	present := map[InstanceID]bool{}
 	for _, id := range s.Refused {
-		there[id] = true
+		present[id] = true
 	}
-	d.refused += len(s.Refused)
+	d.invalidEntries += len(s.Refused)
 	for _, in := range s.Instances {
-		there[in.ID] = true
-		d.put(in, known)
+		present[in.ID] = true
+		d.put(in, knownTo)
 	}
 	for id, in := range d.instances {
-		if !there[id] && in.Revision <= s.Revision {
+		if !present[id] && in.Revision <= s.Revision {
 			d.remove(id, s.Revision)
 		}
 	}
-	// What was removed up to here, of entries that were never held, is not
-	// known: others that are behind it are told everything.
-	d.gone.floor = max(d.gone.floor, s.Revision)
+	// Removals up to this revision may be unknown here, so nodes that are
+	// behind it get the whole state.
+	d.removals.completeAfter = max(d.removals.completeAfter, s.Revision)
 	d.listed = true
 	d.advance(s.Revision)
 	d.publish()
 }
 
-// advance notes that everything up to a revision is known.
+// advance records that everything up to a revision is known.
 func (d *Directory) advance(to Revision) {
 	if to <= d.revision {
 		return
 	}
 	d.revision = to
-	close(d.moved)
-	d.moved = make(chan struct{})
+	close(d.advanced)
+	d.advanced = make(chan struct{})
 }
 
-// Revision returns up to which revision of the source everything is known.
+// Revision returns the revision of the source up to which everything is known.
+// It is safe for concurrent use.
 func (d *Directory) Revision() Revision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.revision
 }
 
-// Apply takes over changes in their order; with them everything up to a
-// revision is known.
+// Apply applies changes in order. Afterwards everything up to revision upTo is
+// known. It is safe for concurrent use.
 func (d *Directory) Apply(changes []Change, upTo Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(changes, upTo)
+	d.applyLocked(changes, upTo)
 }
 
-func (d *Directory) apply(changes []Change, upTo Revision) {
-	known := d.revision
+func (d *Directory) applyLocked(changes []Change, upTo Revision) {
+	knownTo := d.revision
 	d.advance(upTo)
 	if len(changes) == 0 {
 		return
@@ -183,37 +187,36 @@
 	for _, c := range changes {
 		switch {
 		case c.Routes != nil:
-			d.adopt(c.Routes, upTo)
+			d.setRoutes(c.Routes, upTo)
 		case c.Instance != nil:
-			d.put(*c.Instance, known)
+			d.put(*c.Instance, knownTo)
 		case c.Gone != "":
 			d.remove(c.Gone, c.GoneAt)
 		case c.Refused != "":
-			d.refused++
+			d.invalidEntries++
 		}
 	}
 	d.publish()
 }
 
-// adopt puts routes in force if they are newer than those held: a node that
-// wakes late or reads an old copy must not fall back.
-func (d *Directory) adopt(r *Routes, at Revision) {
+// setRoutes puts routes in force if they are newer than the current ones. A
+// node that was paused or reads a stale copy must not fall back.
+func (d *Directory) setRoutes(r *Routes, at Revision) {
 	if r == nil || (d.routes != nil && r.Version <= d.routes.Version) {
 		return
 	}
-	d.routes, d.routesAt = r, at
+	d.routes, d.routesRevision = r, at
 	d.log.WithField("version", r.Version).Info("routes_in_force")
 }
 
-// put takes over an entry that is newer than the one held. Of two starts
-// under one id the later counts, whichever entry was written last: a report
-// of the former can reach the source after the first of the next. An entry
-// that is not held though all up to its revision is known was removed since:
-// a late message, from a source or a node that is behind, must not bring it
-// back.
+// put applies an entry if it is newer than the one held. Of two starts under
+// one ID the later wins even if its entry was written first, because a report
+// of the earlier start can arrive late. An entry that is not held although
+// everything up to its revision is known has been removed; a late message must
+// not bring it back.
 func (d *Directory) put(in Instance, knownTo Revision) {
 	old, known := d.instances[in.ID]
-	if (!known && in.Revision <= knownTo) || in.Revision <= d.gone.at[in.ID] {
+	if (!known && in.Revision <= knownTo) || in.Revision <= d.removals.revisions[in.ID] {
 		return
 	}
 	if known && (in.Started < old.Started || (in.Started == old.Started && old.Revision > in.Revision)) {
@@ -226,12 +229,11 @@
 	}
 }
 
-// remove takes an entry off the list. An instance that said it leaves is
-// gone. Any other may only have lost touch with the source: it stays as
-// doubtful, used only where a service has no others, until the node beside it
-// has been asked, or for as long as it may take to be listed again.
+// remove handles the removal of an entry. A leaving instance is dropped. Any
+// other may only have lost the source: it is kept as doubtful until its node
+// denies it or the grace period ends.
 func (d *Directory) remove(id InstanceID, at Revision) {
-	d.gone.add(id, at)
+	d.removals.add(id, at)
 	in, ok := d.instances[id]
 	if !ok || in.Revision > at {
 		return
@@ -248,24 +250,24 @@
 		until = d.graceEnds
 	}
 	if !time.Now().Before(until) {
-		d.drop(id, "removed from the list")
+		d.drop(id, "entry removed")
 		return
 	}
 	d.unlisted[id] = unlisted{until: until}
 	d.log.WithFields(log.Fields{"instance": id, "revision": at, "kept_until": until}).Info("instance_unlisted")
 }
 
-func (d *Directory) drop(id InstanceID, why string) {
+func (d *Directory) drop(id InstanceID, reason string) {
 	delete(d.instances, id)
 	delete(d.unlisted, id)
-	d.log.WithFields(log.Fields{"instance": id, "why": why}).Info("instance_gone")
+	d.log.WithFields(log.Fields{"instance": id, "why": reason}).Info("instance_gone")
 }
 
-// publish makes the state the current view.
+// publish builds the current view and passes it to the callbacks.
 func (d *Directory) publish() {
 	for id, in := range d.instances {
 		u, ok := d.unlisted[id]
-		in.Unlisted, in.Doubtful = ok, ok && !u.vouched
+		in.Unlisted, in.Doubtful = ok, ok && !u.confirmed
 		d.instances[id] = in
 	}
 	v := newView(d.routes, d.instances)
@@ -275,9 +277,10 @@
 	}
 }
 
-// Refused returns how many entries were read that name no instance.
+// Refused returns the number of invalid entries read since the start. It is
+// safe for concurrent use.
 func (d *Directory) Refused() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.refused
+	return d.invalidEntries
 }
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,5 +1,5 @@
 // Package directory holds what a node knows of its deployment: the routes in
-// force, and the instances that come and go, each with its version. It
-// follows an outside source of both and keeps what it knew while the source
-// is away.
+// force and the instances, each with its version. It follows an external source
+// of both, or other nodes that do, and keeps the last known state while the
+// source is unreachable.
 package directory
--- a/directory/instances.go
+++ b/directory/instances.go
@@ -7,22 +7,22 @@
 )
 
 type (
-	// InstanceID names an instance. One that starts again may keep it; its
-	// Start tells the two apart.
+	// InstanceID identifies an instance. An instance may keep it across
+	// restarts; see Start.
 	InstanceID string
 
-	// UnixMilli is a moment in milliseconds since 1970; 0 where the instance
-	// does not say.
+	// UnixMilli is a time in milliseconds since the Unix epoch; 0 if the
+	// instance does not report it.
 	UnixMilli int64
 
-	// Start names one start of an instance. Whatever is known of how an
-	// instance does belongs to a start: the next one holds nothing of it.
+	// Start identifies one run of an instance. Health and load data belong to a
+	// run and are not carried over to the next.
 	Start struct {
 		ID InstanceID
 		At UnixMilli
 	}
 
-	// Revision orders the changes of a source.
+	// Revision is the position of a change in the history of a source.
 	Revision uint64
 
 	// Instance is one running instance of a service.
@@ -31,49 +31,48 @@
 		Started  UnixMilli
 		Service  string
 		DC       callgraph.DC
-		Addr     string // host:port, reachable from its own VM only
-		Slots    int    // requests it serves at once
+		Addr     string // host:port, reachable only from its own VM
+		Slots    int    // concurrent requests it serves
 		Leaving  bool   // takes no new requests
-		Unlisted bool   // its entry went, without a word that it leaves
-		Doubtful bool   // and nobody vouches for it: only for want of another
+		Unlisted bool   // its entry was removed although it was not leaving
+		Doubtful bool   // unlisted and not confirmed by its node: last resort only
 		ColdTill time.Time
-		Since    Revision // at which it was first listed
-		Revision Revision // at which its entry last changed
+		Since    Revision // revision at which it was first listed
+		Revision Revision // revision at which its entry last changed
 	}
 
-	// group is the instances of one service.
-	group struct {
+	// serviceGroup holds the instances of one service.
+	serviceGroup struct {
 		all  []Instance
 		byDC map[callgraph.DC][]Instance
 	}
 
-	// View is what a node knows at one moment; it never changes.
+	// View is an immutable state of a Directory. It is safe for concurrent use.
 	View struct {
-		Routes   *Routes // nil while none are known
-		services map[string]*group
+		Routes   *Routes // nil if not known yet
+		services map[string]*serviceGroup
 		byAddr   map[string]Instance
-		ids      map[InstanceID]Instance
+		byID     map[InstanceID]Instance
 	}
 )
 
-// newView leaves out instances of services that the routes in force do not
-// name: an entry of another writer could otherwise hide the instance that is
-// at its address.
-func newView(routes *Routes, ids map[InstanceID]Instance) *View {
-	v := &View{Routes: routes, services: map[string]*group{}, byAddr: map[string]Instance{}, ids: map[InstanceID]Instance{}}
-	for id, in := range ids {
-		if !routes.names(in.Service) {
+// newView omits instances of services that the routes do not name, because such
+// an entry could hide a valid instance at the same address.
+func newView(routes *Routes, instances map[InstanceID]Instance) *View {
+	v := &View{Routes: routes, services: map[string]*serviceGroup{}, byAddr: map[string]Instance{}, byID: map[InstanceID]Instance{}}
+	for id, in := range instances {
+		if !routes.hasService(in.Service) {
 			continue
 		}
-		v.ids[id] = in
-		if old, ok := v.byAddr[in.Addr]; !ok || in.follows(&old) {
+		v.byID[id] = in
+		if old, ok := v.byAddr[in.Addr]; !ok || in.supersedes(&old) {
 			v.byAddr[in.Addr] = in
 		}
 	}
 	for _, in := range v.byAddr {
 		g := v.services[in.Service]
 		if g == nil {
-			g = &group{byDC: map[callgraph.DC][]Instance{}}
+			g = &serviceGroup{byDC: map[callgraph.DC][]Instance{}}
 			v.services[in.Service] = g
 		}
 		g.all = append(g.all, in)
@@ -82,23 +81,23 @@
 	return v
 }
 
-// follows reports whether an instance is the later one at an address that
-// both have: one that is listed, or the one listed later.
-func (in *Instance) follows(old *Instance) bool {
+// supersedes reports whether in, at the same address as old, is the current
+// one: listed entries come before unlisted ones, then later ones before earlier
+// ones.
+func (in *Instance) supersedes(old *Instance) bool {
 	if in.Unlisted != old.Unlisted {
 		return old.Unlisted
 	}
 	return old.Since < in.Since
 }
 
-// Start returns which start of the instance this is.
+// Start returns the identity of this run of the instance.
 func (in *Instance) Start() Start { return Start{ID: in.ID, At: in.Started} }
 
-// Instances returns the instances of a service, leaving ones included; the
-// caller must not change it. Of the instances listed at one address only the
-// latest is there: after a loss of power the entries of those that ended stay
-// listed for seconds beside the new ones, and every second try would go to an
-// instance that is no more.
+// Instances returns the instances of a service, including leaving ones. The
+// caller must not modify the slice. Only the latest instance at each address is
+// included: after a power loss, entries of dead instances stay listed for
+// seconds next to the new ones.
 func (v *View) Instances(service string) []Instance {
 	if g := v.services[service]; g != nil {
 		return g.all
@@ -106,7 +105,8 @@
 	return nil
 }
 
-// Near returns those of them that are in a data centre.
+// Near returns the instances of a service in one data centre, as Instances
+// does.
 func (v *View) Near(service string, dc callgraph.DC) []Instance {
 	if g := v.services[service]; g != nil {
 		return g.byDC[dc]
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// HealthPath returns the path at which the instances of a service answer
-// whether they are well; empty if none is known.
+// HealthPath returns the health check path of the instances of a service; empty
+// if there is none.
 func (v *View) HealthPath(service string) string {
 	if v.Routes == nil {
 		return ""
@@ -124,22 +124,24 @@
 	return s.HealthPath
 }
 
-// At returns the instance at an address, the latest where several are listed.
+// At returns the instance at a host:port address, the latest if several are
+// listed.
 func (v *View) At(addr string) (Instance, bool) {
 	in, ok := v.byAddr[addr]
 	return in, ok
 }
 
-// Find returns the instance with an id.
+// Find returns the instance with an ID.
 func (v *View) Find(id InstanceID) (Instance, bool) {
-	in, ok := v.ids[id]
+	in, ok := v.byID[id]
 	return in, ok
 }
 
-// Unlisted returns how many instances are kept though their entries went.
+// Unlisted returns the number of instances that are kept although their entries
+// were removed.
 func (v *View) Unlisted() int {
 	n := 0
-	for _, in := range v.ids {
+	for _, in := range v.byID {
 		if in.Unlisted {
 			n++
 		}
@@ -147,5 +149,5 @@
 	return n
 }
 
-// All returns every instance known.
-func (v *View) All() map[InstanceID]Instance { return v.ids }
+// All returns all known instances. The caller must not modify the map.
+func (v *View) All() map[InstanceID]Instance { return v.byID }
--- a/directory/routes.go
+++ b/directory/routes.go
@@ -14,39 +14,38 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrNoRoute is returned for a host and path that no route in force matches.
+// ErrNoRoute is returned if no route matches a host and path.
 var ErrNoRoute = eris.New("no route for this host and path")
 
-// ErrInvalidRoutes is wrapped by every error about routes that do not hold
-// together.
+// ErrInvalidRoutes is wrapped by all errors about invalid routes.
 var ErrInvalidRoutes = eris.New("invalid routes")
 
 type (
-	// Share is one service that a route's requests go to, and its weight
-	// against the route's other shares.
+	// Share is a service that gets a part of a route's requests, in proportion
+	// to its weight.
 	Share struct {
 		Service string
 		Weight  int
 	}
 
-	// Route says where the requests under one path prefix of a host go.
+	// Route defines where requests below a path prefix of a host are sent.
 	Route struct {
 		Name       string
 		Host       string
 		Prefix     string // begins and ends with a slash
 		Shares     message.List[Share]
 		Idempotent bool
-		// Timeout is the longest time a caller is kept waiting; zero for
-		// as long as the caller says.
+		// Timeout is the maximum time to an answer; 0 if only the caller sets a
+		// limit.
 		Timeout       time.Duration
-		TargetLatency time.Duration // an answer later than this is worth less
-		MaxInstances  int           // how many instances one request may be sent to
-		Priority      int           // 0 is refused last
-		// Public routes are open to callers without an account.
+		TargetLatency time.Duration // latency that callers expect; later answers count as less useful
+		MaxInstances  int           // maximum number of instances that one request is sent to
+		Priority      int           // 0 is the highest and refused last
+		// Public routes need no account.
 		Public bool `msgpack:",omitempty"`
 	}
 
-	// Limits bound what a caller may send and how long it may take.
+	// Limits bound the requests of callers, in bytes and time.
 	Limits struct {
 		HeaderBytes   int
 		BodyBytes     int64
@@ -54,28 +53,28 @@
 		IdleTimeout   time.Duration
 	}
 
-	// Service is a service that a version of the routes names.
+	// Service is a service named by the routes.
 	Service struct {
 		Name       string
-		HealthPath string // of its instances; empty if they have none
+		HealthPath string // health check path of its instances; empty if they have none
 	}
 
-	// Routes is one version of the routes of a deployment.
+	// Routes is one immutable version of the routes of a deployment.
 	Routes struct {
 		Version callgraph.Version
 		Limits  Limits
-		// Services are those there are; nil where the source names none.
+		// Services lists the existing services; nil if the source does not list
+		// them.
 		Services []Service
-		// Accounts are those whose keys are let in; nil where callers need
-		// none.
+		// Accounts holds the client accounts; nil if callers need none.
 		Accounts   *account.Book
 		hosts      map[string][]Route // longest prefix first
-		priorities []int              // that routes have, in order
+		priorities []int              // distinct priorities of the routes, sorted
 	}
 )
 
-// NewRoutes checks a set of routes whole and returns it ready for matching;
-// the error wraps ErrInvalidRoutes and names every problem.
+// NewRoutes validates a set of routes and prepares it for matching. The error
+// wraps ErrInvalidRoutes and lists all problems.
 func NewRoutes(v callgraph.Version, limits Limits, all []Route) (*Routes, error) {
 	r := &Routes{Version: v, Limits: limits, hosts: map[string][]Route{}}
 	var problems []error
@@ -96,9 +95,10 @@
 	return r, nil
 }
 
-// Rank orders the requests of accounts on routes, from 0 without gaps, out of
-// so many ranks: an account's priority goes before a route's. Where callers need
-// no account it is the route's priority, of any number.
+// Rank returns the rank of the requests of an account on a route, and the
+// number of ranks. Rank 0 is refused last; the priority of the account counts
+// before that of the route. If callers need no account, rank is the priority of
+// the route and of is 0.
 func (r *Routes) Rank(a *account.Account, rt *Route) (rank, of int) {
 	if r.Accounts == nil {
 		return rt.Priority, 0
@@ -108,8 +108,9 @@
 	return r.Accounts.Rank(a)*n + i, r.Accounts.Ranks() * n
 }
 
-// names reports whether the routes name a service; none known name all.
-func (r *Routes) names(service string) bool {
+// hasService reports whether the routes name a service. Without a list of
+// services it is always true.
+func (r *Routes) hasService(service string) bool {
 	if r == nil || r.Services == nil {
 		return true
 	}
@@ -128,34 +129,34 @@
 
 func (rt *Route) problems() []error {
 	var ps []error
-	bad := func(what string) { ps = append(ps, eris.Errorf("route %s: %s", rt.Name, what)) }
+	add := func(problem string) { ps = append(ps, eris.Errorf("route %s: %s", rt.Name, problem)) }
 	if rt.Host == "" {
-		bad("no host")
+		add("host is empty")
 	}
 	if !strings.HasPrefix(rt.Prefix, "/") || !strings.HasSuffix(rt.Prefix, "/") {
-		bad("prefix must begin and end with a slash")
+		add("prefix must begin and end with a slash")
 	}
 	if rt.MaxInstances < 1 {
-		bad("must allow one instance at least")
+		add("maximum number of instances must be at least 1")
 	}
 	if rt.Timeout < 0 || rt.TargetLatency < 0 {
-		bad("negative time")
+		add("timeout and target latency must not be negative")
 	}
 	total := 0
 	for _, s := range rt.Shares {
 		if s.Service == "" || s.Weight < 0 {
-			bad("a share without service or with a negative weight")
+			add("share has an empty service or a negative weight")
 		}
 		total += s.Weight
 	}
 	if total == 0 {
-		bad("no service gets any of its requests")
+		add("total weight of the shares is 0")
 	}
 	return ps
 }
 
-// Match returns the route with the longest prefix that begins path, among
-// those of host; the error is ErrNoRoute.
+// Match returns the route of host, with or without a port, that has the longest
+// prefix of path, or ErrNoRoute.
 func (r *Routes) Match(host, path string) (*Route, error) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -172,8 +173,7 @@
 	return nil, ErrNoRoute
 }
 
-// Service returns the service that gets the request with this draw, a number
-// in [0,1): shares get their weight's part of evenly spread draws.
+// Service returns the service for a request. draw is a random number in [0,1).
 func (rt *Route) Service(draw float64) string {
 	if len(rt.Shares) == 1 {
 		return rt.Shares[0].Service
@@ -182,12 +182,12 @@
 	for _, s := range rt.Shares {
 		total += s.Weight
 	}
-	at := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, s := range rt.Shares {
-		if at < float64(s.Weight) {
+		if remaining < float64(s.Weight) {
 			return s.Service
 		}
-		at -= float64(s.Weight)
+		remaining -= float64(s.Weight)
 	}
 	return rt.Shares[len(rt.Shares)-1].Service
 }
--- a/directory/unlisted.go
+++ b/directory/unlisted.go
@@ -6,52 +6,54 @@
 	"github.com/apex/log"
 )
 
-// unlisted is an instance that is kept though its entry went.
+// unlisted is the state of an instance that is kept although its entry was
+// removed.
 type unlisted struct {
-	until   time.Time
-	vouched bool // the node beside it says that it is there
+	until     time.Time
+	confirmed bool // its node confirmed that it is alive
 }
 
-// Vouched notes that the node beside an unlisted instance vouches for it
-// until a time. It is used like a listed one meanwhile.
+// Vouched records that the node of an unlisted instance confirmed it until a
+// time. Until then it is used like a listed one. It is safe for concurrent use.
 func (d *Directory) Vouched(at Start, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	u, ok := d.unlistedStart(at)
+	u, ok := d.unlistedAt(at)
 	if !ok {
 		return
 	}
-	d.unlisted[at.ID] = unlisted{until: until, vouched: true}
-	if !u.vouched {
+	d.unlisted[at.ID] = unlisted{until: until, confirmed: true}
+	if !u.confirmed {
 		d.log.WithFields(log.Fields{"instance": at.ID, "until": until}).Info("instance_vouched")
 		d.publish()
 	}
 }
 
-// Disown notes that the node beside an unlisted instance does not vouch for
-// it.
+// Disown drops an unlisted instance that its node did not confirm. It is safe
+// for concurrent use.
 func (d *Directory) Disown(at Start) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ok := d.unlistedStart(at); ok {
-		d.drop(at.ID, "its node does not vouch for it")
+	if _, ok := d.unlistedAt(at); ok {
+		d.drop(at.ID, "not confirmed by its node")
 		d.publish()
 	}
 }
 
-func (d *Directory) unlistedStart(at Start) (unlisted, bool) {
+func (d *Directory) unlistedAt(at Start) (unlisted, bool) {
 	u, ok := d.unlisted[at.ID]
 	return u, ok && d.instances[at.ID].Started == at.At
 }
 
-// Settle drops the unlisted instances whose time is up; call it now and then.
+// Settle drops the unlisted instances whose grace period or confirmation has
+// expired. It is safe for concurrent use.
 func (d *Directory) Settle() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, dropped := time.Now(), false
 	for id, u := range d.unlisted {
 		if !now.Before(u.until) {
-			d.drop(id, "not listed again, and nobody vouches for it")
+			d.drop(id, "not listed or confirmed in time")
 			dropped = true
 		}
 	}
