--- a/route/doc.go
+++ b/route/doc.go
@@ -1,5 +1,5 @@
-// Package route picks the instance of a service that a node sends a call to:
-// the local data centre first, instances that are leaving or backing off
-// never. Which instance may run an action that must not repeat is package
-// owner's to say.
+// Package route selects the instance of a service that a node sends a call to.
+// It prefers the local data centre and skips instances that are leaving or in
+// backoff. Package owner decides which instance may run a non-idempotent
+// operation.
 package route
--- a/route/table.go
+++ b/route/table.go
@@ -9,41 +9,42 @@
 )
 
 const (
-	// avoidUnreachable keeps calls away from an instance whose node could
-	// not be dialled.
-	avoidUnreachable = time.Second
-	// avoidDraining keeps calls away from an instance that answered as
-	// leaving. It ends, because the VM may stay and only its process be
-	// restarted; while it drains, asking again costs one re-pick.
-	avoidDraining = 5 * time.Second
+	// unreachableBackoff is how long an instance is skipped after its node
+	// could not be dialled.
+	unreachableBackoff = time.Second
+	// drainingBackoff is how long an instance is skipped after it answered as
+	// leaving. It is limited because the process may be restarted on the same
+	// VM.
+	drainingBackoff = 5 * time.Second
 )
 
-// Table knows the instances of every service and which to avoid now.
+// Table holds the instances of every service and those to skip. It is safe for
+// concurrent use.
 type Table struct {
 	local callgraph.DC
-	rr    atomic.Uint64
+	next  atomic.Uint64
 
-	mu          sync.Mutex
-	graph       *callgraph.Graph
-	listed      map[string]time.Time // instance -> when the VM list first showed it leaving
-	unreachable map[string]time.Time // instance -> until
-	draining    map[string]time.Time // instance -> until
+	mu           sync.Mutex
+	graph        *callgraph.Graph
+	leavingSince map[string]time.Time // by instance: when the VM list first showed it as leaving
+	unreachable  map[string]time.Time // by instance: end of the backoff
+	draining     map[string]time.Time // by instance: end of the backoff
 }
 
-// NewTable returns a Table for a node in data centre local.
+// NewTable returns an empty Table for a node in data centre local.
 func NewTable(local callgraph.DC) *Table {
-	return &Table{local: local, listed: map[string]time.Time{},
+	return &Table{local: local, leavingSince: map[string]time.Time{},
 		unreachable: map[string]time.Time{}, draining: map[string]time.Time{}}
 }
 
-// SetGraph puts a new text's instances in force.
+// SetGraph replaces the instances by those of g.
 func (t *Table) SetGraph(g *callgraph.Graph) {
 	t.mu.Lock()
 	t.graph = g
 	t.mu.Unlock()
 }
 
-// Version returns the version of the text in force, 0 for none.
+// Version returns the version of the current graph, 0 if there is none.
 func (t *Table) Version() callgraph.Version {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,64 +54,67 @@
 	return t.graph.Version
 }
 
-// SetListed notes whether the VM list shows an instance as leaving; one that
-// is gets no new calls.
+// SetListed records whether the VM list shows an instance as leaving. A leaving
+// instance gets no new calls.
 func (t *Table) SetListed(name string, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_, known := t.listed[name]
+	_, recorded := t.leavingSince[name]
 	switch {
 	case !leaving:
-		delete(t.listed, name)
-	case !known:
-		t.listed[name] = time.Now()
+		delete(t.leavingSince, name)
+	case !recorded:
+		t.leavingSince[name] = time.Now()
 	}
 }
 
-// ClearListed forgets the VM list, before a full one is noted.
+// ClearListed discards all records of SetListed, before a complete VM list is
+// recorded.
 func (t *Table) ClearListed() {
 	t.mu.Lock()
-	clear(t.listed)
+	clear(t.leavingSince)
 	t.mu.Unlock()
 }
 
-// ListedBefore reports whether the VM list showed an instance as leaving
-// before at.
+// ListedBefore reports whether the VM list showed an instance as leaving before
+// at.
 func (t *Table) ListedBefore(name string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	since, ok := t.listed[name]
-	return ok && since.Before(at)
+	since, leaving := t.leavingSince[name]
+	return leaving && since.Before(at)
 }
 
-// SetDraining keeps calls away from an instance that answered as leaving.
+// SetDraining skips an instance for drainingBackoff, after it answered as
+// leaving.
 func (t *Table) SetDraining(name string) {
 	t.mu.Lock()
-	t.draining[name] = time.Now().Add(avoidDraining)
+	t.draining[name] = time.Now().Add(drainingBackoff)
 	t.mu.Unlock()
 }
 
-// SetUnreachable keeps calls away from an instance whose node could not be
-// dialled. A capacity refusal is no reason: its come-back time is for the
-// caller of that one call, and avoiding every instance that refused once
-// left none to call while slots were free again.
+// SetUnreachable skips an instance for unreachableBackoff, after its node could
+// not be dialled. It must not be used for capacity refusals: skipping every
+// instance that refused one call would leave none, even once slots are free
+// again.
 func (t *Table) SetUnreachable(name string) {
 	t.mu.Lock()
-	t.unreachable[name] = time.Now().Add(avoidUnreachable)
+	t.unreachable[name] = time.Now().Add(unreachableBackoff)
 	t.mu.Unlock()
 }
 
-// Unreachable reports whether an instance's node could not be dialled just
-// now.
+// Unreachable reports whether an instance is skipped because its node could not
+// be dialled.
 func (t *Table) Unreachable(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Now().Before(t.unreachable[name])
 }
 
-// Pick returns an instance of service, skipping those in tried. Instances of
-// the local data centre come first, so that a data centre cut off from the
-// others goes on serving; within the chosen set they take turns.
+// Pick returns an instance of service that is neither in tried nor skipped, and
+// false if there is none. Instances of the local data centre are preferred, so
+// that a partitioned data centre keeps serving. Within the preferred set
+// selection is round-robin.
 func (t *Table) Pick(service string, tried map[string]bool) (callgraph.Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,7 +124,7 @@
 	now := time.Now()
 	var local, remote []callgraph.Instance
 	for _, in := range t.graph.Services[service].Instances {
-		if tried[in.Name] || t.avoided(in.Name, now) {
+		if tried[in.Name] || t.blocked(in.Name, now) {
 			continue
 		}
 		if in.DC == t.local {
@@ -136,10 +140,10 @@
 	if len(set) == 0 {
 		return callgraph.Instance{}, false
 	}
-	return set[t.rr.Add(1)%uint64(len(set))], true
+	return set[t.next.Add(1)%uint64(len(set))], true
 }
 
-func (t *Table) avoided(name string, now time.Time) bool {
-	_, listed := t.listed[name]
-	return listed || now.Before(t.unreachable[name]) || now.Before(t.draining[name])
+func (t *Table) blocked(name string, now time.Time) bool {
+	_, leaving := t.leavingSince[name]
+	return leaving || now.Before(t.unreachable[name]) || now.Before(t.draining[name])
 }
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -9,23 +9,21 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// archiv-1's process is stopped for a moment and comes back on the same VM.
-// Its peers were told that it leaves. They must keep away while it drains
-// and send it work again afterwards, or each restart would lose its slots
-// for good. One the VM list shows as leaving never gets work again.
-func TestDrainedInstanceGetsWorkAgainUnlessListed(t *testing.T) {
+// A process restarts on the same VM after its peers saw it leave. It must get
+// calls again after draining, unless the VM list shows the instance as leaving.
+func TestDrainedInstanceIsPickedAgainUnlessLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tb := NewTable("halle-nord")
 		tb.SetGraph(&callgraph.Graph{Services: map[string]*callgraph.Service{
 			"archiv": {Instances: []callgraph.Instance{{Name: "archiv-1", DC: "halle-nord"}}}}})
 		picked := func() bool { _, ok := tb.Pick("archiv", nil); return ok }
-		Convey("It is avoided while it drains and picked again later", t, func() {
+		Convey("It is skipped while it drains and picked again later", t, func() {
 			tb.SetDraining("archiv-1")
 			So(picked(), ShouldBeFalse)
-			time.Sleep(avoidDraining)
+			time.Sleep(drainingBackoff)
 			So(picked(), ShouldBeTrue)
 		})
-		Convey("Once listed as leaving it stays avoided until the list says otherwise", t, func() {
+		Convey("It is skipped for as long as the VM list shows it as leaving", t, func() {
 			tb.SetListed("archiv-1", true)
 			time.Sleep(time.Hour)
 			So(picked(), ShouldBeFalse)
