--- a/directory/delta_test.go
+++ b/directory/delta_test.go
@@ -60,18 +60,18 @@
 func TestFollowerDetectsSourceOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(Usual(discardLog))
-		tell := func(age time.Duration, s Snapshot) { d.Learn(Delta{Snapshot: s, Age: age}) }
-		tell(0, Snapshot{Revision: 2, Instances: []Instance{testInstance("a", 1), testInstance("b", 2)}})
+		learn := func(age time.Duration, s Snapshot) { d.Learn(Delta{Snapshot: s, Age: age}) }
+		learn(0, Snapshot{Revision: 2, Instances: []Instance{testInstance("a", 1), testInstance("b", 2)}})
 		Convey("The source is reported as away once the state is too old", t, func() {
 			So(d.SourceAway(), ShouldBeFalse)
 			for age := range 6 {
 				time.Sleep(time.Second)
-				tell(time.Duration(age+1)*time.Second, Snapshot{Revision: 2})
+				learn(time.Duration(age+1)*time.Second, Snapshot{Revision: 2})
 			}
 			So(d.SourceAway(), ShouldBeTrue)
 			So(d.SourceLost(), ShouldEqual, time.Now())
 			Convey("Entries missing after the outage are kept as doubtful", func() {
-				tell(0, Snapshot{Revision: 4})
+				learn(0, Snapshot{Revision: 4})
 				So(d.SourceAway(), ShouldBeFalse)
 				time.Sleep(2 * time.Second)
 				d.Settle()
--- a/directory/entries_test.go
+++ b/directory/entries_test.go
@@ -12,13 +12,13 @@
 func TestLaterStartWins(t *testing.T) {
 	Convey("Also if the entry of the earlier start was written last", t, func() {
 		d := New(Usual(discardLog))
-		again := testInstance("a", 5)
-		again.Started = 2000
-		d.Replace(Snapshot{Revision: 5, Instances: []Instance{again}})
-		late := testInstance("a", 6)
-		late.Started, late.Leaving = 1000, true
-		d.Apply([]Change{{Instance: &late}}, 6)
-		d.Learn(Delta{Snapshot: Snapshot{Revision: 7, Instances: []Instance{late}}})
+		restarted := testInstance("a", 5)
+		restarted.Started = 2000
+		d.Replace(Snapshot{Revision: 5, Instances: []Instance{restarted}})
+		stale := testInstance("a", 6)
+		stale.Started, stale.Leaving = 1000, true
+		d.Apply([]Change{{Instance: &stale}}, 6)
+		d.Learn(Delta{Snapshot: Snapshot{Revision: 7, Instances: []Instance{stale}}})
 		in, ok := d.View().Find("a")
 		So(ok, ShouldBeTrue)
 		So(in.Started, ShouldEqual, UnixMilli(2000))
@@ -34,9 +34,9 @@
 		d := New(Usual(discardLog))
 		r := testRoutes(t, 3)
 		r.Services = []Service{{Name: "archiv", HealthPath: "/health"}}
-		odd := testInstance("odd", 9)
-		odd.Service, odd.Addr, odd.Since = "nobody", "a:1", 9
-		d.Replace(Snapshot{Revision: 9, Routes: r, Instances: []Instance{testInstance("a", 3), odd}})
+		invalid := testInstance("odd", 9)
+		invalid.Service, invalid.Addr, invalid.Since = "nobody", "a:1", 9
+		d.Replace(Snapshot{Revision: 9, Routes: r, Instances: []Instance{testInstance("a", 3), invalid}})
 		So(d.View().Instances("archiv"), ShouldHaveLength, 1)
 		in, _ := d.View().At("a:1")
 		So(in.ID, ShouldEqual, InstanceID("a"))
@@ -46,8 +46,8 @@
 		Convey("The entry is used once the routes name its service", func() {
 			named := testRoutes(t, 4)
 			named.Services = []Service{{Name: "archiv"}, {Name: "nobody"}}
-			odd.Addr, odd.Revision = "c:1", 11
-			d.Apply([]Change{{Instance: &odd}, {Routes: named}}, 12)
+			invalid.Addr, invalid.Revision = "c:1", 11
+			d.Apply([]Change{{Instance: &invalid}, {Routes: named}}, 12)
 			So(d.View().Instances("nobody"), ShouldHaveLength, 1)
 		})
 	})
@@ -82,8 +82,8 @@
 				}
 			} else {
 				d.Apply([]Change{{Instance: &in}}, rev)
-				late := in.Revision <= removed[in.ID] || (!known && in.Revision <= rev)
-				if !late && (!known || in.Started > old.started || (in.Started == old.started && in.Revision >= old.rev)) {
+				stale := in.Revision <= removed[in.ID] || (!known && in.Revision <= rev)
+				if !stale && (!known || in.Started > old.started || (in.Started == old.started && in.Revision >= old.rev)) {
 					want[in.ID] = fact{in.Started, in.Revision, false}
 				}
 			}
--- a/directory/reader_test.go
+++ b/directory/reader_test.go
@@ -112,12 +112,12 @@
 	}
 	rev, changed := s.rev, s.changed
 	s.mu.Unlock()
-	late := time.After(wait)
+	timeout := time.After(wait)
 	for rev <= after {
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
-		case <-late:
+		case <-timeout:
 			return nil, after, nil
 		case <-changed:
 		}
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -63,10 +63,10 @@
 				So(float64(calls)/30, ShouldBeLessThan, 6.5)
 				for range 3 {
 					calls, messages, bytes = f.store.calls.Load(), f.messages.Load(), f.bytes.Load()
-					most, all := f.propagate(3 * time.Second)
-					t.Logf("change: 99%% of nodes after %v, all after %v, %d source calls, %d messages, %d bytes", most, all,
+					p99, all := f.propagate(3 * time.Second)
+					t.Logf("change: 99%% of nodes after %v, all after %v, %d source calls, %d messages, %d bytes", p99, all,
 						f.store.calls.Load()-calls, f.messages.Load()-messages, f.bytes.Load()-bytes)
-					So(most, ShouldBeLessThan, 1500*time.Millisecond)
+					So(p99, ShouldBeLessThan, 1500*time.Millisecond)
 					So(all, ShouldBeLessThan, 1500*time.Millisecond)
 					So(f.store.calls.Load()-calls, ShouldBeLessThan, 2*readers+1)
 					time.Sleep(2 * time.Second)
--- a/membership/member.go
+++ b/membership/member.go
@@ -216,8 +216,8 @@
 	local := r.readers(m.cfg.DC, skip)
 	var remote []Addr
 	for _, dc := range r.otherDCs(m.cfg.DC) {
-		if rs := r.readers(dc, skip); len(rs) > 0 {
-			remote = append(remote, rs[0])
+		if readers := r.readers(dc, skip); len(readers) > 0 {
+			remote = append(remote, readers[0])
 		}
 	}
 	switch {
@@ -241,7 +241,7 @@
 // poll asks a node for what this one does not know and applies the answer. A
 // node that does not answer is skipped until its backoff ends.
 func (m *Member) poll(ctx context.Context, at Addr, wait time.Duration) {
-	x, err := m.cfg.Peers.Since(ctx, at, m.dir.Revision(), wait)
+	delta, err := m.cfg.Peers.Since(ctx, at, m.dir.Revision(), wait)
 	if ctx.Err() != nil {
 		return
 	}
@@ -253,7 +253,7 @@
 		return
 	}
 	m.backoffs.recordSuccess(at)
-	m.dir.Learn(x)
+	m.dir.Learn(delta)
 }
 
 // bootstrap polls the seeds until one has answered with a list, another node
@@ -278,13 +278,13 @@
 	}()
 	for i := rand.IntN(len(m.cfg.Seeds)); ctx.Err() == nil && !m.dir.Listed(); i++ {
 		at := m.cfg.Seeds[i%len(m.cfg.Seeds)]
-		x, err := m.cfg.Peers.Since(ctx, at, 0, bootstrapTimeout)
+		delta, err := m.cfg.Peers.Since(ctx, at, 0, bootstrapTimeout)
 		m.counters.countPeerPoll(err)
 		if err != nil {
 			directory.Pause(ctx, bootstrapRetryDelay)
 			continue
 		}
-		m.dir.Learn(x)
+		m.dir.Learn(delta)
 	}
 }
 
