--- a/filter/admission.go
+++ b/filter/admission.go
@@ -9,47 +9,50 @@
 )
 
 const (
-	// sheddableShare is the share of slots that sheddable calls may fill.
+	// sheddableShare is the fraction of slots that sheddable calls may
+	// occupy.
 	sheddableShare = 0.8
-	// MinRetryAfter is the least come-back time a refusal names.
+	// MinRetryAfter is the shortest retry-after a refusal carries.
 	MinRetryAfter = 50 * time.Millisecond
 )
 
-// Admission caps the calls in flight to the local target at its slots. A
-// sheddable call is refused once sheddableShare of the slots are busy, a
-// critical one only when all are: so no critical call is refused while a
-// sheddable one would still be let in.
+// Admission limits the concurrent calls to the local target to its number of
+// slots. Sheddable calls are refused once sheddableShare of the slots are
+// busy, critical calls only when all are, so no critical call is refused
+// while a sheddable one would be admitted. It is safe for concurrent use.
 type Admission struct {
-	mu       sync.Mutex
-	slots    int
-	inflight int
-	service  time.Duration // moving average of time in the target
+	mu             sync.Mutex
+	slots          int
+	inFlight       int
+	avgServiceTime time.Duration // moving average of the time a call spends in the target
 }
 
-// NewAdmission returns an Admission for a target with the given slots.
+// NewAdmission returns an Admission for a target with the given number of
+// slots.
 func NewAdmission(slots int) *Admission { return &Admission{slots: slots} }
 
-// SetSlots changes the cap, as when a new text is put in force.
+// SetSlots changes the concurrency limit, for instance when a new
+// configuration is applied.
 func (a *Admission) SetSlots(n int) {
 	a.mu.Lock()
 	a.slots = n
 	a.mu.Unlock()
 }
 
-// InFlight returns the calls now in the target.
+// InFlight returns the number of calls in progress at the target.
 func (a *Admission) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.inflight
+	return a.inFlight
 }
 
-// Filter returns the admission step of the chain.
+// Filter returns the admission filter.
 func (a *Admission) Filter() Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
-			after, ok := a.admit(c.Op.Class)
+			retryAfter, ok := a.admit(c.Op.Class)
 			if !ok {
-				return call.Refuse(*c.Request, "target at capacity for "+string(c.Op.Class)+" calls", after)
+				return call.Refuse(*c.Request, "target at capacity for "+string(c.Op.Class)+" calls", retryAfter)
 			}
 			start := time.Now()
 			defer func() { a.release(time.Since(start)) }()
@@ -65,16 +68,16 @@
 	if class == call.Sheddable {
 		limit = max(1, int(float64(a.slots)*sheddableShare))
 	}
-	if a.inflight >= limit {
-		return max(MinRetryAfter, 2*a.service), false
+	if a.inFlight >= limit {
+		return max(MinRetryAfter, 2*a.avgServiceTime), false
 	}
-	a.inflight++
+	a.inFlight++
 	return 0, true
 }
 
-func (a *Admission) release(took time.Duration) {
+func (a *Admission) release(elapsed time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.inflight--
-	a.service += (took - a.service) / 8
+	a.inFlight--
+	a.avgServiceTime += (elapsed - a.avgServiceTime) / 8
 }
--- a/filter/chain.go
+++ b/filter/chain.go
@@ -8,7 +8,7 @@
 )
 
 type (
-	// Call is one request with the operation it names, as the chain sees it.
+	// Call is one request and the operation it invokes.
 	Call struct {
 		Request *call.Request
 		Op      *callgraph.Operation
@@ -19,17 +19,17 @@
 		Serve(ctx context.Context, c *Call) call.Answer
 	}
 
-	// HandlerFunc lets a function be a Handler.
+	// HandlerFunc adapts a function to a Handler.
 	HandlerFunc func(ctx context.Context, c *Call) call.Answer
 
-	// Filter wraps a Handler in one concern.
+	// Filter wraps a Handler with additional behavior.
 	Filter func(next Handler) Handler
 )
 
 // Serve calls f.
 func (f HandlerFunc) Serve(ctx context.Context, c *Call) call.Answer { return f(ctx, c) }
 
-// Chain wraps h in filters; the first filter sees a call first.
+// Chain wraps h in filters; the first filter is the outermost.
 func Chain(h Handler, filters ...Filter) Handler {
 	for i := len(filters) - 1; i >= 0; i-- {
 		h = filters[i](h)
--- a/filter/chain_bench_test.go
+++ b/filter/chain_bench_test.go
@@ -12,9 +12,9 @@
 	"github.com/oatpin/oatpin/callgraph"
 )
 
-// BenchmarkChain measures the CPU one call spends in the whole filter chain
-// (deadline, drain, dedup, admission) in front of a target that does
-// nothing, for an idempotent call and for a keyed non-idempotent one.
+// BenchmarkChain measures the CPU cost per call of the filter chain
+// (deadline, drain, dedup, admission) in front of a no-op target, for an
+// idempotent call and for a non-idempotent call with an idempotency key.
 func BenchmarkChain(b *testing.B) {
 	var leaving atomic.Bool
 	dedup := NewDedup(time.Minute, 32<<20)
@@ -34,17 +34,17 @@
 	}
 }
 
-// BenchmarkDedupMemory reports the heap one remembered idempotency key
-// holds in the dedup window.
+// BenchmarkDedupMemory reports the heap bytes per idempotency key in the
+// dedup window.
 func BenchmarkDedupMemory(b *testing.B) {
 	const keys = 100_000
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := NewWindow[call.Key, *run](time.Hour)
+		w := NewWindow[call.Key, *execution](time.Hour)
 		for i := range keys {
-			r := &run{done: make(chan struct{})}
+			r := &execution{done: make(chan struct{})}
 			r.answer.Store(&call.Answer{Status: call.OK})
 			w.GetOrPut(call.Key(fmt.Sprintf("release-%012d/freigabe.approve", i)), r)
 		}
--- a/filter/deadline.go
+++ b/filter/deadline.go
@@ -7,26 +7,25 @@
 	"github.com/oatpin/oatpin/call"
 )
 
-// minWork is the least time left that is worth starting work for.
-const minWork = time.Millisecond
+// minRemaining is the least remaining time with which a call is still
+// started.
+const minRemaining = time.Millisecond
 
-// Deadline refuses a call whose time is up before any work starts, and
-// bounds the rest of the chain by the time the caller gave. skew is how far
-// the clocks of two nodes may differ.
+// Deadline refuses calls whose deadline has passed and applies the remaining
+// time as a timeout to the rest of the chain. skew is the maximum clock
+// difference between two nodes.
 func Deadline(skew time.Duration) Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
-			// Work started for a request whose caller has already given up
-			// is waste at the worst moment; it shows as targets busy with
-			// answers nobody reads. Refusing here runs nothing.
-			// A call that waited in the socket of a paused process shows the
-			// time it had when it was sent; how long ago that was counts too.
+			// Avoids running calls whose caller has already given up.
+			// Remaining was computed at the sender, so time spent since then,
+			// such as in the socket buffer of a paused process, is deducted.
 			if !c.Request.Sent.IsZero() {
 				if late := time.Since(c.Request.Sent) - skew; late > 0 {
 					c.Request.Remaining -= late
 				}
 			}
-			if c.Request.Remaining < minWork {
+			if c.Request.Remaining < minRemaining {
 				return call.Refuse(*c.Request, "deadline passed", 0)
 			}
 			ctx, cancel := context.WithTimeout(ctx, c.Request.Remaining)
--- a/filter/dedup.go
+++ b/filter/dedup.go
@@ -9,87 +9,89 @@
 	"github.com/oatpin/oatpin/call"
 )
 
-// answerOverhead is what a kept answer counts for beside its body.
-const answerOverhead = 256
+// answerOverheadBytes is added to the body size when a retained answer is
+// counted.
+const answerOverheadBytes = 256
 
 // Dedup runs a non-idempotent call at most once per idempotency key within
-// its window. A second call with a key that is running waits for the first
-// and gets the same whole answer; one with a key that finished gets the
-// stored answer. A first run that was refused (NotRun) is forgotten, so the
-// key may be sent again, unless the refusal declined the key for good: then
-// another instance may run it, and this one must not.
+// its window. A duplicate of a running call waits for it and gets the same
+// answer; a duplicate of a finished call gets the stored answer. If the first
+// execution was refused (NotRun), the key is removed so that the call may be
+// retried here, unless the refusal declined the key: another instance may
+// then run it, so this one must not. Dedup is safe for concurrent use.
 type Dedup struct {
-	window   *Window[call.Key, *run]
-	maxBytes int
+	window         *Window[call.Key, *execution]
+	maxAnswerBytes int
 
-	mu    sync.Mutex
-	kept  []*run // whose answers are whole, oldest first
-	bytes int    // that kept counts for
+	mu            sync.Mutex
+	retained      []*execution // finished executions with a complete answer, oldest first
+	retainedBytes int          // total size of the answers in retained
 }
 
-// run is one execution under a key; done closes when answer is set.
-type run struct {
+// execution is one run of a call with an idempotency key; done is closed once
+// answer is set.
+type execution struct {
 	done   chan struct{}
 	answer atomic.Pointer[call.Answer]
 }
 
-// NewDedup returns a Dedup that remembers keys for ttl and keeps answers of
-// maxBytes together.
-func NewDedup(ttl time.Duration, maxBytes int) *Dedup {
-	return &Dedup{window: NewWindow[call.Key, *run](ttl), maxBytes: maxBytes}
+// NewDedup returns a Dedup that remembers keys for ttl and retains answers of
+// at most maxAnswerBytes in total, but always at least the latest.
+func NewDedup(ttl time.Duration, maxAnswerBytes int) *Dedup {
+	return &Dedup{window: NewWindow[call.Key, *execution](ttl), maxAnswerBytes: maxAnswerBytes}
 }
 
-// Filter returns the dedup step of the chain.
+// Filter returns the dedup filter.
 func (d *Dedup) Filter() Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
 			if c.Op.Idempotent || c.Request.Key == "" {
 				return next.Serve(ctx, c)
 			}
-			mine := &run{done: make(chan struct{})}
-			r, first := d.window.GetOrPut(c.Request.Key, mine)
+			created := &execution{done: make(chan struct{})}
+			e, first := d.window.GetOrPut(c.Request.Key, created)
 			if !first {
-				return wait(ctx, c, r)
+				return awaitExecution(ctx, c, e)
 			}
 			a := next.Serve(ctx, c)
-			r.answer.Store(&a)
+			e.answer.Store(&a)
 			if a.Status == call.NotRun && !a.Declined {
 				d.window.Delete(c.Request.Key)
 			} else {
-				d.keep(r, len(a.Body)+answerOverhead)
+				d.retain(e, len(a.Body)+answerOverheadBytes)
 			}
-			close(r.done)
+			close(e.done)
 			return a
 		})
 	}
 }
 
-// keep counts a finished run's answer and drops the oldest ones past
-// maxBytes. Large answers at a high rate would otherwise outgrow the node's
-// memory within the window. The run itself stays known: a key whose answer
-// is gone is told so, and is not run again.
-func (d *Dedup) keep(r *run, size int) {
+// retain adds the answer of a finished execution and evicts the oldest
+// answers beyond maxAnswerBytes, which bounds memory under a high rate of
+// large answers. Evicted keys stay in the window: duplicates are answered
+// Unknown and do not run again.
+func (d *Dedup) retain(e *execution, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.kept = append(d.kept, r)
-	d.bytes += size
-	for d.bytes > d.maxBytes && len(d.kept) > 1 {
-		oldest := d.kept[0]
-		d.kept = d.kept[1:]
-		d.bytes -= len(oldest.answer.Load().Body) + answerOverhead
+	d.retained = append(d.retained, e)
+	d.retainedBytes += size
+	for d.retainedBytes > d.maxAnswerBytes && len(d.retained) > 1 {
+		oldest := d.retained[0]
+		d.retained = d.retained[1:]
+		d.retainedBytes -= len(oldest.answer.Load().Body) + answerOverheadBytes
 		oldest.answer.Store(&call.Answer{Status: call.Unknown, Reason: "this key ran; its answer is no longer kept"})
 	}
 }
 
-func wait(ctx context.Context, c *Call, r *run) call.Answer {
+func awaitExecution(ctx context.Context, c *Call, e *execution) call.Answer {
 	select {
-	case <-r.done:
-		a := *r.answer.Load()
+	case <-e.done:
+		a := *e.answer.Load()
 		a.ID = c.Request.ID
 		return a
 	case <-ctx.Done():
-		// The first run is still going: this call did not run, but the
-		// action may, so the answer is Unknown rather than NotRun.
+		// The first execution is still running, so the action may take
+		// effect: Unknown rather than NotRun.
 		return call.Answer{ID: c.Request.ID, Status: call.Unknown, Reason: "same key still running"}
 	}
 }
--- a/filter/dedup_test.go
+++ b/filter/dedup_test.go
@@ -10,16 +10,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Actions with large answers come at a high rate: kept for the whole window
-// they would take the node's 128 MB many times over, and the kernel would
-// kill it. The oldest answers must go, but never the memory that their keys
-// ran.
-func TestDedupBoundsItsAnswers(t *testing.T) {
-	Convey("Past the bound the oldest answer is dropped and its key still not run again", t, func() {
-		ran := map[call.Key]int{}
-		d := NewDedup(time.Hour, 2*(1000+answerOverhead))
+// Guards against retained answers exhausting the node's memory, and against
+// an evicted answer causing its key to run again.
+func TestDedupBoundsRetainedAnswers(t *testing.T) {
+	Convey("Beyond the limit the oldest answer is evicted and its key does not run again", t, func() {
+		executions := map[call.Key]int{}
+		d := NewDedup(time.Hour, 2*(1000+answerOverheadBytes))
 		h := Chain(HandlerFunc(func(_ context.Context, c *Call) call.Answer {
-			ran[c.Request.Key]++
+			executions[c.Request.Key]++
 			return call.Answer{ID: c.Request.ID, Status: call.OK, Body: make([]byte, 1000)}
 		}), d.Filter())
 		send := func(key call.Key) call.Answer {
@@ -33,6 +31,6 @@
 		So(a.Body, ShouldBeEmpty)
 		So(len(send("b").Body), ShouldEqual, 1000)
 		So(len(send("c").Body), ShouldEqual, 1000)
-		So(ran, ShouldResemble, map[call.Key]int{"a": 1, "b": 1, "c": 1})
+		So(executions, ShouldResemble, map[call.Key]int{"a": 1, "b": 1, "c": 1})
 	})
 }
--- a/filter/doc.go
+++ b/filter/doc.go
@@ -1,4 +1,5 @@
-// Package filter is the chain every call passes on its way to a node's local
-// target: deadline, drain, dedup of idempotency keys and admission by class.
-// Each filter is a small type that wraps the next Handler.
+// Package filter implements the filter chain that each call passes before it
+// reaches a node's local target: deadline, deduplication by idempotency key,
+// key ownership, drain and admission by class. Each filter wraps the next
+// Handler.
 package filter
--- a/filter/drain.go
+++ b/filter/drain.go
@@ -8,20 +8,22 @@
 	"github.com/oatpin/oatpin/call"
 )
 
-// drainRetryAfter tells a caller refused by a leaving node when to come back;
-// by then its router has moved to another instance.
+// drainRetryAfter is the retry-after in refusals of a leaving instance;
+// callers have switched to another instance by then.
 const drainRetryAfter = time.Second
 
-// RefuseLeaving is the refusal of an instance that is leaving.
+// RefuseLeaving returns the NotRun answer of an instance that is shutting
+// down.
 func RefuseLeaving(r call.Request) call.Answer {
 	a := call.Refuse(r, "instance leaving", drainRetryAfter)
 	a.Leaving = true
 	return a
 }
 
-// Drain refuses new calls once leaving is set, marking the answer Leaving so
-// that the caller's router stops picking this instance. A key refused so is
-// declined: leaving is for good, so another instance may run it.
+// Drain refuses new calls once leaving is set. The answer has Leaving set, so
+// that routers stop picking this instance. For a non-idempotent call it also
+// has Declined set: leaving is permanent, so another instance may run the
+// key.
 func Drain(leaving *atomic.Bool) Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
--- a/filter/owner.go
+++ b/filter/owner.go
@@ -7,16 +7,17 @@
 	"github.com/oatpin/oatpin/owner"
 )
 
-// Owner lets a non-idempotent call pass only if this instance may run its
-// key. It stands behind Dedup, which answers the keys that ran here, and
-// before Drain, which declines what this instance would run.
-func Owner(book *owner.Book) Filter {
+// Owner passes a non-idempotent call on only if this instance may run its
+// key. It must come after Dedup, which answers keys that already ran here,
+// and before Drain, which declines keys that this instance would otherwise
+// run.
+func Owner(ownership *owner.Book) Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
 			if c.Op.Idempotent {
 				return next.Serve(ctx, c)
 			}
-			switch book.Claim(c.Request.Service, c.Request.Key, c.Request.Passed) {
+			switch ownership.Claim(c.Request.Service, c.Request.Key, c.Request.Passed) {
 			case owner.Run:
 				return next.Serve(ctx, c)
 			case owner.Decline:
--- a/filter/window.go
+++ b/filter/window.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// Window remembers values by key for a fixed time after they were put.
+// Window is a map whose entries expire a fixed time after insertion. It is
+// safe for concurrent use.
 type Window[K comparable, V any] struct {
-	mu    sync.Mutex
-	ttl   time.Duration
-	items map[K]windowItem[V]
-	swept time.Time
+	mu        sync.Mutex
+	ttl       time.Duration
+	items     map[K]windowItem[V]
+	lastSweep time.Time
 }
 
 type windowItem[V any] struct {
@@ -18,13 +19,13 @@
 	expires time.Time
 }
 
-// NewWindow returns a Window that keeps each value for ttl.
+// NewWindow returns a Window whose entries expire after ttl.
 func NewWindow[K comparable, V any](ttl time.Duration) *Window[K, V] {
-	return &Window[K, V]{ttl: ttl, items: map[K]windowItem[V]{}, swept: time.Now()}
+	return &Window[K, V]{ttl: ttl, items: map[K]windowItem[V]{}, lastSweep: time.Now()}
 }
 
-// GetOrPut returns the value under k, or puts v there and returns it with
-// put true.
+// GetOrPut returns the unexpired value stored for k and false, or stores v
+// and returns it and true.
 func (w *Window[K, V]) GetOrPut(k K, v V) (V, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,20 +38,20 @@
 	return v, true
 }
 
-// Delete forgets k.
+// Delete removes the entry for k.
 func (w *Window[K, V]) Delete(k K) {
 	w.mu.Lock()
 	delete(w.items, k)
 	w.mu.Unlock()
 }
 
-// sweep drops expired items at most once a ttl, keeping GetOrPut O(1) on
-// average.
+// sweep removes expired entries at most once per ttl, so that GetOrPut runs
+// in amortized constant time.
 func (w *Window[K, V]) sweep(now time.Time) {
-	if now.Sub(w.swept) < w.ttl {
+	if now.Sub(w.lastSweep) < w.ttl {
 		return
 	}
-	w.swept = now
+	w.lastSweep = now
 	for k, it := range w.items {
 		if !now.Before(it.expires) {
 			delete(w.items, k)
