--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -17,13 +17,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// dispatchOf returns the key under which a publication's dispatch runs.
-func dispatchOf(publication call.Key) call.Key {
+// dispatchKey returns the idempotency key of a publication's dispatch call.
+func dispatchKey(publication call.Key) call.Key {
 	return publication + "/freigabe.approve/archiv.store/versand.dispatch"
 }
 
-// dispatched returns how often the dispatch with key reached subscribers.
-func dispatched(m *demo.Mesh, key call.Key) int {
+// dispatchCount returns how often the dispatch with key took effect, over all
+// targets.
+func dispatchCount(m *demo.Mesh, key call.Key) int {
 	n := 0
 	for name, tg := range m.Targets {
 		if strings.HasPrefix(name, "versand") {
@@ -33,20 +34,18 @@
 	return n
 }
 
-func entry(m *demo.Mesh, service string, i int) string {
+func entryURL(m *demo.Mesh, service string, i int) string {
 	return "http://" + m.Graph.Services[service].Instances[i].HTTP
 }
 
-// A node is killed after its target ran an approval, and its answer is
-// lost. The client sends the approval again to the restarted node, whose
-// dedup window is empty: it must not run a second time, and the client must
-// not be told that it did not run. The next approval runs as usual.
-func TestRestartedNodeRunsNoKeyAgain(t *testing.T) {
-	Convey("A key made before the node started is unknown, a later one runs", t, func() {
+// Guards against a restarted node, whose dedup window is empty, running a key
+// again or answering NotRun for a key that ran before the restart.
+func TestRestartedNodeDoesNotRerunKey(t *testing.T) {
+	Convey("A key created before the restart is answered unknown, a later one runs", t, func() {
 		var runs atomic.Int32
 		tg := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 		defer tg.Close()
-		g := fakeText(t, "idempotent = false", startFakePeer(t, breaksOff))
+		g := fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect))
 		base := startNode(t, g, "back-1", tg.URL)
 		key := call.NewKey("halle-nord")
 		st := callKeyed(t, base, "back", "op", key)
@@ -61,15 +60,14 @@
 	})
 }
 
-// A dispatch runs, its answer is lost, and the node that ran it starts to
-// leave. The dispatch is sent again through nodes of all data centres: each
-// must get the first run's answer, and a new one must run at another
-// instance at once.
-func TestLeavingOwnerStillAnswersForItsKeys(t *testing.T) {
+// Guards against a key running again at another instance when the owner that
+// ran it is leaving: the owner must answer from its dedup window, and new
+// keys must run elsewhere at once.
+func TestLeavingOwnerAnswersFromDedup(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
-	Convey("A key that ran at a leaving instance is answered from there", t, func() {
+	Convey("The leaving owner answers a key that it ran; a new key runs at another instance", t, func() {
 		key := call.NewKey("halle-nord")
-		st := callKeyed(t, entry(m, "entwurf", 0), "versand", "dispatch", key)
+		st := callKeyed(t, entryURL(m, "entwurf", 0), "versand", "dispatch", key)
 		So(st, ShouldEqual, call.OK)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -77,66 +75,65 @@
 		for m.Nodes["versand-1"].Ready() {
 		}
 		for i := range 3 {
-			st = callKeyed(t, entry(m, "entwurf", i), "versand", "dispatch", key)
+			st = callKeyed(t, entryURL(m, "entwurf", i), "versand", "dispatch", key)
 			So(st, ShouldEqual, call.OK)
 		}
-		So(dispatched(m, key), ShouldEqual, 1)
+		So(dispatchCount(m, key), ShouldEqual, 1)
 
 		next := call.NewKey("halle-nord")
-		st = callKeyed(t, entry(m, "entwurf", 0), "versand", "dispatch", next)
+		st = callKeyed(t, entryURL(m, "entwurf", 0), "versand", "dispatch", next)
 		So(st, ShouldEqual, call.OK)
-		So(dispatched(m, next), ShouldEqual, 1)
+		So(dispatchCount(m, next), ShouldEqual, 1)
 		So(m.Targets["versand-1"].Effects()[next], ShouldEqual, 0)
 	})
 }
 
-// halle-nord is cut off from the other halls and from the platform; open
-// connections go silent. Editors in halle-nord go on publishing and
-// reading through their own instances. A client that sent a publication to
-// halle-nord and tries again through halle-sued must not get it run there.
-func TestCutOffDataCentreServesItsOwn(t *testing.T) {
-	c := &cut{dc: "halle-nord", in: map[string]callgraph.DC{}}
+// Guards against a data centre that is partitioned from the others and the
+// platform failing its own calls, and against its publications running a
+// second time in another data centre.
+func TestPartitionedDCServesLocalCalls(t *testing.T) {
+	c := &partition{dc: "halle-nord", dcByAddr: map[string]callgraph.DC{}}
 	m := startMeshWith(t, demo.Config{Text: examples.KesslerRaab, Dial: c.dial})
 	for _, s := range m.Graph.Services {
 		for _, in := range s.Instances {
-			c.in[in.Peer] = in.DC
+			c.dcByAddr[in.Peer] = in.DC
 		}
 	}
-	Convey("Before the cut, publications from every hall run", t, func() {
+	Convey("Before the partition, publications from every data centre run", t, func() {
 		So(publish(t, m, 30), ShouldEqual, 30)
 	})
-	c.on.Store(true)
+	c.active.Store(true)
 	m.Platform.SetMode(configservice.ModeDown)
-	Convey("During the cut, all halls serve their own work", t, func() {
+	Convey("During the partition, every data centre serves its own calls", t, func() {
 		So(publish(t, m, 60), ShouldEqual, 60)
 		for i := range 30 {
-			st := callOp(t, entry(m, "entwurf", i%3), "entwurf", "read_draft")
+			st := callOp(t, entryURL(m, "entwurf", i%3), "entwurf", "read_draft")
 			So(st, ShouldEqual, call.OK)
 		}
 	})
 	key := call.NewKey("halle-nord")
-	Convey("A publication of halle-nord is not run again by another hall", t, func() {
-		st := callKeyed(t, entry(m, "entwurf", 0), "entwurf", "publish", key)
+	Convey("A publication of halle-nord does not run again in another data centre", t, func() {
+		st := callKeyed(t, entryURL(m, "entwurf", 0), "entwurf", "publish", key)
 		So(st, ShouldEqual, call.OK)
-		st = callKeyed(t, entry(m, "entwurf", 1), "entwurf", "publish", key)
+		st = callKeyed(t, entryURL(m, "entwurf", 1), "entwurf", "publish", key)
 		So(st, ShouldEqual, call.NotRun)
-		So(dispatched(m, dispatchOf(key)), ShouldEqual, 1)
+		So(dispatchCount(m, dispatchKey(key)), ShouldEqual, 1)
 	})
-	c.on.Store(false)
-	Convey("After the cut the second hall gets the first run's answer", t, func() {
-		time.Sleep(time.Second) // halle-sued avoids instances it could not dial for 1 s
-		st := callKeyed(t, entry(m, "entwurf", 1), "entwurf", "publish", key)
+	c.active.Store(false)
+	Convey("After the partition the other data centre gets the answer of the first execution", t, func() {
+		time.Sleep(time.Second) // nodes in halle-sued skip an instance for 1 s after a failed dial
+		st := callKeyed(t, entryURL(m, "entwurf", 1), "entwurf", "publish", key)
 		So(st, ShouldEqual, call.OK)
-		So(dispatched(m, dispatchOf(key)), ShouldEqual, 1)
+		So(dispatchCount(m, dispatchKey(key)), ShouldEqual, 1)
 		So(publish(t, m, 30), ShouldEqual, 30)
 	})
 }
 
-// A caller sends a key that cannot be dated: taking it would give up the
-// promise, so it gets a clear error and nothing runs.
+// Guards against running a call whose key has no creation time, without which
+// at-most-once execution cannot be ensured.
 func TestMalformedKeyIsRefused(t *testing.T) {
 	Convey("A key that is not HOME.UUIDv7 is a bad request", t, func() {
-		g := fakeText(t, "idempotent = false", startFakePeer(t, breaksOff))
+		g := fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect))
 		base := startNode(t, g, "back-1", "http://127.0.0.1:1")
 		req, _ := http.NewRequest(http.MethodPost, base+"/v1/call/back/op", nil)
 		req.Header.Set(call.HeaderKey, "release-4711")
--- a/node/body_test.go
+++ b/node/body_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An editor sends a note larger than the limit. Cut to the limit and passed
-// on it would be published in part, and answered as if it were whole.
-func TestOversizedBodyIsRefusedWhole(t *testing.T) {
-	Convey("A body one byte over the limit runs nothing, one at the limit runs whole", t, func() {
+// Guards against an oversized body being truncated and run as if it were
+// complete.
+func TestOversizedBodyIsRefused(t *testing.T) {
+	Convey("A body one byte over the limit is refused, one at the limit is passed on complete", t, func() {
 		var runs, size atomic.Int64
 		tg := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
@@ -22,7 +22,7 @@
 			size.Store(n)
 		}))
 		defer tg.Close()
-		base := startNode(t, fakeText(t, "idempotent = false", startFakePeer(t, breaksOff)), "back-1", tg.URL)
+		base := startNode(t, fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect)), "back-1", tg.URL)
 		post := func(n int) int {
 			resp, err := http.Post(base+"/v1/call/back/op", "", bytes.NewReader(make([]byte, n)))
 			So(err, ShouldBeNil)
--- a/node/config.go
+++ b/node/config.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	// watchWait is how long one watch call waits at the platform; the
-	// platform counts a waiting watch as one call.
-	watchWait = 20 * time.Second
-	// watchBackoff is the pause after the platform failed or refused.
+	// watchTimeout is how long the platform holds one watch request without a
+	// change; it counts a waiting watch as one call.
+	watchTimeout = 20 * time.Second
+	// watchBackoff is the delay before a watch is retried after the platform
+	// failed or refused it.
 	watchBackoff = time.Second
-	// rewatchSpread spreads the new watches after a change: every node's
-	// waiting watch answers at once, and 1,100 new watches in the same
-	// instant would pass the platform's 2,000 reads a second; spread over
-	// 2 s they come at 550 a second, and a text still lands within 9 s.
-	rewatchSpread = 2 * time.Second
+	// rewatchJitter bounds the random delay before the next watch after a
+	// change. A change completes the watch of every node at once; without
+	// jitter, 1,100 simultaneous watches would exceed the platform's limit of
+	// 2,000 reads/s.
+	rewatchJitter = 2 * time.Second
 )
 
-// Apply puts g in force if it is newer than the text in force and reports
-// whether it did. A node that paused and wakes holding an older text can
-// only move forward. Texts come from the platform and from peers at once,
-// and each is put in force in several places: done one at a time, or an
-// older text that was overtaken would route calls after the newer one came.
+// Apply activates g if it is newer than the active configuration and reports
+// whether it did, so a node that resumes with an outdated configuration
+// cannot roll back. Configurations arrive concurrently from the platform and
+// from peers and update several components; applyMu keeps an older one from
+// partially overwriting a newer one. Apply is safe for concurrent use.
 func (n *Node) Apply(g *callgraph.Graph) bool {
-	n.applying.Lock()
-	defer n.applying.Unlock()
+	n.applyMu.Lock()
+	defer n.applyMu.Unlock()
 	if cur := n.graph.Load(); cur != nil && g.Version <= cur.Version {
 		return false
 	}
 	n.graph.Store(g)
 	n.table.SetGraph(g)
-	n.book.SetGraph(g)
+	n.ownership.SetGraph(g)
 	if s, _, ok := g.Instance(n.cfg.Settings.Instance); ok {
 		n.admission.SetSlots(s.Slots)
 	}
@@ -46,45 +47,44 @@
 	case n.applied <- struct{}{}:
 	default:
 	}
-	n.stats.configApplied()
+	n.stats.countConfigApplied()
 	n.log.WithField("version", g.Version).Info("config_applied")
 	return true
 }
 
-// watchConfig is the controller that keeps the newest text in force: it
-// long-polls the platform, and goes on serving with the text it has while
-// the platform is down.
+// watchConfig long-polls the platform for newer configurations until the node
+// stops. While the platform is unreachable, the node keeps the active
+// configuration.
 func (n *Node) watchConfig() {
 	for !n.stopped() {
 		changed, err := n.pollPlatform()
 		if n.stopped() {
-			return // the watch ended by the node's own stop says nothing of the platform
+			return // cancelled by the node stopping, not a platform failure
 		}
 		if err != nil {
-			if !n.alone.Swap(true) {
+			if !n.platformDown.Swap(true) {
 				n.log.WithError(err).Warn("platform_unreachable")
 			}
-			n.pause(watchBackoff)
+			n.sleep(watchBackoff)
 			continue
 		}
-		if n.alone.Swap(false) {
+		if n.platformDown.Swap(false) {
 			n.log.Info("platform_reachable")
 		}
 		if changed {
-			n.pause(rand.N(rewatchSpread))
+			n.sleep(rand.N(rewatchJitter))
 		}
 	}
 }
 
-// pause waits for d, or until the node stops.
-func (n *Node) pause(d time.Duration) {
+// sleep waits for d or until the node stops.
+func (n *Node) sleep(d time.Duration) {
 	select {
 	case <-n.stop:
 	case <-time.After(d):
 	}
 }
 
-// stopped reports whether the node's controllers are to end.
 func (n *Node) stopped() bool {
 	select {
 	case <-n.stop:
@@ -94,22 +94,22 @@
 	}
 }
 
-// pollPlatform waits once at the platform for a text newer than the one in
-// force and reports whether one came.
+// pollPlatform issues one watch request for a newer configuration and reports
+// whether the active version changed.
 func (n *Node) pollPlatform() (bool, error) {
 	ctx, cancel := n.watchContext()
 	defer cancel()
 	before := n.version()
-	url := n.cfg.Settings.Platform + "/v1/config?after=" + strconv.FormatUint(before, 10) + "&wait=" + watchWait.String()
+	url := n.cfg.Settings.Platform + "/v1/config?after=" + strconv.FormatUint(before, 10) + "&wait=" + watchTimeout.String()
 	err := n.fetchConfig(ctx, url)
 	return n.version() != before, err
 }
 
-// watchContext bounds one watch call at the platform. It ends when the node
-// stops: a watch waits for up to watchWait, and the platform's own stop would
-// wait on it.
+// watchContext returns a context for one watch request. It is cancelled when
+// the node stops, since a pending watch would otherwise delay the platform's
+// shutdown by up to watchTimeout.
 func (n *Node) watchContext() (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(context.Background(), watchWait+5*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+5*time.Second)
 	go func() {
 		select {
 		case <-n.stop:
@@ -120,8 +120,8 @@
 	return ctx, cancel
 }
 
-// fetchConfig reads a text from url (the platform or a peer's node) and
-// applies it if newer.
+// fetchConfig fetches a configuration from url, at the platform or a peer
+// node, and applies it if it is newer.
 func (n *Node) fetchConfig(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -137,33 +137,34 @@
 	case http.StatusNotModified:
 		return nil
 	default:
-		return eris.Errorf("config from %s: %s", url, resp.Status)
+		return eris.Errorf("fetch configuration from %s: unexpected status %s", url, resp.Status)
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(nil, resp.Body, maxBody))
+	data, err := io.ReadAll(http.MaxBytesReader(nil, resp.Body, maxBody))
 	if err != nil {
-		return eris.Wrapf(err, "config from %s", url)
+		return eris.Wrapf(err, "read configuration from %s", url)
 	}
-	g, err := callgraph.Parse(text)
+	g, err := callgraph.Parse(data)
 	if err != nil {
-		return eris.Wrapf(err, "config from %s", url)
+		return eris.Wrapf(err, "parse configuration from %s", url)
 	}
-	g.Accepted = acceptedAt(resp.Header)
+	g.Accepted = acceptedFromHeader(resp.Header)
 	n.Apply(g)
 	return nil
 }
 
-// setAccepted tells the next node when a text was accepted, if that is known.
-// It takes back the second that acceptedAt adds, or the time would move on by
-// one with every node that passes the text on.
-func setAccepted(h http.Header, t time.Time) {
+// setAcceptedHeader sets Last-Modified to the time the configuration was
+// accepted, if known. It subtracts the second added by acceptedFromHeader, so
+// that the time does not drift as the configuration passes from node to node.
+func setAcceptedHeader(h http.Header, t time.Time) {
 	if !t.IsZero() {
 		h.Set("Last-Modified", t.Add(-time.Second).UTC().Format(http.TimeFormat))
 	}
 }
 
-// acceptedAt reads when a text was accepted. The header has whole seconds
-// cut off, so the second's end is taken; without one it may be brand new.
-func acceptedAt(h http.Header) time.Time {
+// acceptedFromHeader returns the latest time at which the configuration can
+// have been accepted. Last-Modified is truncated to whole seconds, so one
+// second is added; without the header, the current time is assumed.
+func acceptedFromHeader(h http.Header) time.Time {
 	t, err := http.ParseTime(h.Get("Last-Modified"))
 	if err != nil {
 		t = time.Now().Truncate(time.Second)
@@ -171,26 +172,26 @@
 	return t.Add(time.Second)
 }
 
-// onPeerVersion learns from a frame that the peer instance holds a newer
-// text and fetches it from that peer's node: this spreads a text while the
-// platform is down or stale for late joiners.
+// onPeerVersion fetches the configuration of a peer instance that announced a
+// newer version. This propagates configurations while the platform is down or
+// serves stale data.
 func (n *Node) onPeerVersion(instance string, v uint64) {
-	if v <= n.version() || !n.fetching.CompareAndSwap(false, true) {
+	if v <= n.version() || !n.fetchingConfig.CompareAndSwap(false, true) {
 		return
 	}
 	g := n.graph.Load()
 	if g == nil {
-		n.fetching.Store(false)
+		n.fetchingConfig.Store(false)
 		return
 	}
 	if _, in, ok := g.Instance(instance); ok {
 		go func() {
-			defer n.fetching.Store(false)
+			defer n.fetchingConfig.Store(false)
 			if err := n.fetchFromNode(in.HTTP); err != nil {
 				n.log.WithField("peer", in.HTTP).WithError(err).Warn("peer_config_failed")
 			}
 		}()
 		return
 	}
-	n.fetching.Store(false)
+	n.fetchingConfig.Store(false)
 }
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -11,10 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A node pauses, wakes late and applies the text it fetched before the
-// pause, while newer texts have arrived from the platform and from peers
-// in the meantime. Whatever the order and however many arrive at once, the
-// version in force must be the newest seen and never go back.
+// Guards against an older configuration replacing a newer one when several
+// are applied concurrently, as after a pause of the process.
 func TestApplyNeverGoesBack(t *testing.T) {
 	base, err := callgraph.Parse(examples.KesslerRaab)
 	if err != nil {
@@ -42,13 +40,13 @@
 			newest = max(newest, v)
 		}
 		if got := uint64(n.Graph().Version); got != newest {
-			t.Fatalf("in force %d, newest applied %d", got, newest)
+			t.Fatalf("active version %d, want %d", got, newest)
 		}
 		if got := uint64(n.table.Version()); got != newest {
-			t.Fatalf("calls are routed by text %d, newest applied %d", got, newest)
+			t.Fatalf("routing table at version %d, want %d", got, newest)
 		}
 		if s, _, _ := n.Graph().Instance("archiv-1"); s == nil || n.admission.InFlight() != 0 {
-			t.Fatalf("graph in force lost its instance")
+			t.Fatalf("active configuration lacks archiv-1 or its admission has calls in flight")
 		}
 	})
 }
--- a/node/dial_test.go
+++ b/node/dial_test.go
@@ -13,13 +13,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The only instance of a service is cut off: dials to it hang. A hundred
-// reads come at once. They must share one dial, not open a hundred against
-// a machine that may just be coming back, and all be refused when it fails.
-func TestCallsShareOneDial(t *testing.T) {
-	Convey("A hundred calls at once cause one dial, and are told not_run", t, func() {
+// Guards against each call opening its own connection to an unreachable peer,
+// which would flood it when it comes back.
+func TestConcurrentCallsShareOneDial(t *testing.T) {
+	Convey("A hundred concurrent calls cause one dial and are answered not_run", t, func() {
 		var dials atomic.Int32
-		g := fakeText(t, "idempotent = true\ndeadline = 5s", startFakePeer(t, breaksOff))
+		g := fakeGraph(t, "idempotent = true\ndeadline = 5s", startFakePeer(t, disconnect))
 		base := startNodeWith(t, g, node.Config{
 			Settings: settings.Node{Instance: "front-1", Target: "http://127.0.0.1:1"},
 			Dial: func(ctx context.Context, _ string) (net.Conn, error) {
--- a/node/give_up_test.go
+++ b/node/disconnect_test.go
@@ -11,9 +11,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// leave posts one call of service.op to base and closes the connection
-// after 100 ms, as a client that gives up does.
-func leave(base, service, op string, key call.Key) {
+// callAndDisconnect posts one call of service.op and closes the connection
+// after 100 ms.
+func callAndDisconnect(base, service, op string, key call.Key) {
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v1/call/"+service+"/"+op, nil)
@@ -26,27 +26,26 @@
 	}
 }
 
-// An editor closes the page while a read runs at its target: the target is
-// told at once. An editor who closes the page on an approval and sends it
-// again must get the first run's whole answer: an approval broken off half
-// way could be told neither done nor not run.
-func TestGivenUpReadIsCancelledAndApprovalIsNot(t *testing.T) {
-	Convey("A read given up ends at its target", t, func() {
+// Guards against a client disconnect cancelling a non-idempotent call midway,
+// which would leave its outcome unknown, and against an idempotent call
+// running on after its client has gone.
+func TestDisconnectCancelsOnlyIdempotentCall(t *testing.T) {
+	Convey("An idempotent call is cancelled at the target when its client disconnects", t, func() {
 		ended := make(chan struct{})
 		tg := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			close(ended)
 		}))
 		defer tg.Close()
-		base := startNode(t, fakeText(t, "idempotent = true\ndeadline = 10s", startFakePeer(t, breaksOff)), "back-1", tg.URL)
-		leave(base, "back", "op", call.NewKey("halle-nord"))
+		base := startNode(t, fakeGraph(t, "idempotent = true\ndeadline = 10s", startFakePeer(t, disconnect)), "back-1", tg.URL)
+		callAndDisconnect(base, "back", "op", call.NewKey("halle-nord"))
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
-			t.Error("the target still works on a read whose caller has left")
+			t.Error("request context at the target not cancelled 5 s after the client disconnected")
 		}
 	})
-	Convey("An approval given up runs on, and its next try gets the answer", t, func() {
+	Convey("A non-idempotent call runs on, and a retry with its key gets the answer", t, func() {
 		tg := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case <-time.After(500 * time.Millisecond):
@@ -54,9 +53,9 @@
 			}
 		}))
 		defer tg.Close()
-		base := startNode(t, fakeText(t, "idempotent = false\ndeadline = 10s", startFakePeer(t, breaksOff)), "back-1", tg.URL)
+		base := startNode(t, fakeGraph(t, "idempotent = false\ndeadline = 10s", startFakePeer(t, disconnect)), "back-1", tg.URL)
 		key := call.NewKey("halle-nord")
-		leave(base, "back", "op", key)
+		callAndDisconnect(base, "back", "op", key)
 		st := callKeyed(t, base, "back", "op", key)
 		So(st, ShouldEqual, call.OK)
 	})
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,6 +1,7 @@
-// Package node is the one small oatpin process beside each target VM. Calls
-// for the local target pass the filter chain; calls the target makes to the
-// services it depends on are routed to their nodes over msgpack, retried
-// only within the request's budget. Controllers keep the text in force and
-// the peer connections up.
+// Package node implements the proxy process that runs beside each target VM.
+// Inbound calls pass the filter chain to the local target; the target's
+// outbound calls are routed to the nodes of other services over msgpack and
+// retried within the request's retry budget. Background loops watch the
+// platform, exchange configurations with other nodes and check peer
+// connections.
 package node
--- a/node/fake_test.go
+++ b/node/fake_test.go
@@ -23,15 +23,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fakePeer is the node of one instance as the test scripts it: it records
-// every request frame it reads and answers as script says, or breaks the
-// connection when script returns nil.
+// fakePeer is a scripted peer node: it records each request frame and sends
+// the answer that script returns, or closes the connection if that is nil.
 type fakePeer struct {
 	addr   string
 	script func(r call.Request) *call.Answer
 
-	mu   sync.Mutex
-	seen []call.Request
+	mu       sync.Mutex
+	received []call.Request
 }
 
 func startFakePeer(t testing.TB, script func(r call.Request) *call.Answer) *fakePeer {
@@ -67,7 +66,7 @@
 			continue
 		}
 		p.mu.Lock()
-		p.seen = append(p.seen, *f.Request)
+		p.received = append(p.received, *f.Request)
 		p.mu.Unlock()
 		a := p.script(*f.Request)
 		if a == nil {
@@ -81,17 +80,17 @@
 func (p *fakePeer) requests() []call.Request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]call.Request(nil), p.seen...)
+	return append([]call.Request(nil), p.received...)
 }
 
-// breaksOff is the script of a peer that reads a call and is killed before
-// it answers.
-func breaksOff(call.Request) *call.Answer { return nil }
+// disconnect is a script that closes the connection after reading a call,
+// without answering it.
+func disconnect(call.Request) *call.Answer { return nil }
 
-// fakeText is a text of a service front with one instance, front-1, that
-// calls op of service back, whose instances are the given peers (all in
-// the data centre of front-1); op's lines follow in INI form.
-func fakeText(t testing.TB, op string, peers ...*fakePeer) *callgraph.Graph {
+// fakeGraph returns a configuration in which instance front-1 of service
+// front calls operation op of service back, whose instances are peers. All
+// are in one data centre. op holds the operation's settings in INI form.
+func fakeGraph(t testing.TB, op string, peers ...*fakePeer) *callgraph.Graph {
 	t.Helper()
 	var b strings.Builder
 	b.WriteString("version = 1\nretries = 3\n[service.front]\nslots = 10\ndepends_on = back\n" +
@@ -108,65 +107,65 @@
 	return g
 }
 
-// quiet is a logger that writes nothing.
-func quiet() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
+// discardLogger returns a logger that discards its entries.
+func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
-// startNode runs the node of one instance of g alone, before the target at
-// base URL target, with a platform stand-in, and returns its own base URL.
+// startNode runs the node of one instance of g with the given target URL and
+// a platform stand-in, and returns the base URL of the node.
 func startNode(t testing.TB, g *callgraph.Graph, instance, target string) string {
 	t.Helper()
 	return startNodeWith(t, g, node.Config{Settings: settings.Node{Instance: instance, Target: target}})
 }
 
-// startNodeWith does the same for the node that cfg describes.
+// startNodeWith is like startNode, for the node that cfg describes.
 func startNodeWith(t testing.TB, g *callgraph.Graph, cfg node.Config) string {
 	t.Helper()
 	_, in, ok := g.Instance(cfg.Settings.Instance)
 	if !ok {
-		t.Fatalf("%s is not in the text", cfg.Settings.Instance)
+		t.Fatalf("instance %s is not in the configuration", cfg.Settings.Instance)
 	}
-	var ls [2]net.Listener
-	for i := range ls {
+	var listeners [2]net.Listener
+	for i := range listeners {
 		var err error
-		if ls[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	p, err := configservice.New(configservice.Config{Text: g.Text, Log: quiet()})
+	p, err := configservice.New(configservice.Config{Text: g.Text, Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	srv := httptest.NewServer(p.Handler())
 	t.Cleanup(srv.CloseClientConnections)
-	cfg.Graph, cfg.Log = g, quiet()
+	cfg.Graph, cfg.Log = g, discardLogger()
 	cfg.Settings.DC, cfg.Settings.Platform = in.DC, srv.URL
 	n := node.New(cfg)
-	go n.ServeOn(ls[0], ls[1])
-	t.Cleanup(func() { ls[0].Close(); ls[1].Close() })
+	go n.ServeOn(listeners[0], listeners[1])
+	t.Cleanup(func() { listeners[0].Close(); listeners[1].Close() })
 	for end := time.Now().Add(5 * time.Second); !n.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s is not ready", in.Name)
+			t.Fatalf("node %s not ready after 5 s", in.Name)
 		}
 	}
-	return "http://" + ls[0].Addr().String()
+	return "http://" + listeners[0].Addr().String()
 }
 
-// callOp posts one call of service.op to the node at base and returns how it
-// ended.
+// callOp posts one call of service.op to the node at base and returns its
+// status.
 func callOp(t testing.TB, base, service, op string) call.Status {
 	t.Helper()
 	return callKeyed(t, base, service, op, "")
 }
 
-// callKeyed does the same with an idempotency key, if it is not empty.
+// callKeyed is like callOp, with an idempotency key unless it is empty.
 func callKeyed(t testing.TB, base, service, op string, key call.Key) call.Status {
 	t.Helper()
 	st, _ := callWith(t, base, service, op, call.Request{Key: key})
 	return st
 }
 
-// callWith posts one call of service.op with the id and key of r, if they
-// are not empty, and returns how it ended and the body.
+// callWith posts one call of service.op with the ID and key of r, unless they
+// are empty, and returns the status and body.
 func callWith(t testing.TB, base, service, op string, r call.Request) (call.Status, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, base+"/v1/call/"+service+"/"+op, nil)
--- a/node/exchange_test.go
+++ b/node/gossip_test.go
@@ -12,18 +12,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The platform is down and no caller sends anything. One node read a newer
-// text just before; and a replaced VM starts with no text at all, knowing
-// one other node by its settings. Both the old nodes and the new one must
-// hold the newer text within 9 s, in every data centre.
-func TestTextSpreadsWithoutPlatformOrCalls(t *testing.T) {
+// Guards against a configuration held by one node not reaching the others, or
+// a new node that only knows a seed, within the propagation bound while the
+// platform is down and there are no calls.
+func TestGossipWithoutPlatformOrCalls(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
-	Convey("All nodes and a late joiner get the text from each other", t, func() {
+	Convey("All nodes and a late joiner get the configuration from each other", t, func() {
 		m.Platform.SetMode(configservice.ModeDown)
-		v2, err := callgraph.Parse(bump(m.Graph.Text, 2))
+		v2, err := callgraph.Parse(withVersion(m.Graph.Text, 2))
 		So(err, ShouldBeNil)
 		So(m.Nodes["archiv-1"].Apply(v2), ShouldBeTrue)
-		joiner := node.New(node.Config{Log: quiet(), Settings: settings.Node{
+		joiner := node.New(node.Config{Log: discardLogger(), Settings: settings.Node{
 			Instance: "archiv-7", DC: "halle-west", HTTP: "127.0.0.1:0", Peer: "127.0.0.1:0",
 			Target: "http://127.0.0.1:1", Platform: m.PlatformURL,
 			Seeds: []string{m.Graph.Services["versand"].Instances[2].HTTP},
@@ -31,7 +30,7 @@
 		go joiner.Serve()
 		defer joiner.Shutdown(t.Context())
 		So(waitVersion(m, 2), ShouldBeEmpty)
-		for end := time.Now().Add(inForce); joiner.Graph() == nil && time.Now().Before(end); {
+		for end := time.Now().Add(propagationBound); joiner.Graph() == nil && time.Now().Before(end); {
 			time.Sleep(50 * time.Millisecond)
 		}
 		So(joiner.Graph(), ShouldNotBeNil)
--- a/node/hop_bench_test.go
+++ b/node/hop_bench_test.go
@@ -11,12 +11,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// BenchmarkHop measures the latency one call sees to the target of service
-// b: straight to the target over HTTP (what a caller would do without
-// oatpin), through b's node alone, and from a's node across msgpack to b's
-// node, as every call between services goes. The difference of the last
-// and the first is what oatpin adds per hop; p50 and p99 are reported in
-// microseconds.
+// BenchmarkHop measures the latency of a call to the target of service b:
+// directly over HTTP, through b's node, and through a's and b's nodes, the
+// path of calls between services. The last minus the first is the overhead
+// per hop.
 func BenchmarkHop(b *testing.B) {
 	text, err := os.ReadFile("testdata/hop.ini")
 	if err != nil {
@@ -36,7 +34,7 @@
 			h := hdrhistogram.New(1, 10_000_000, 3)
 			cpu := cpuTime()
 			for b.Loop() {
-				t0 := time.Now()
+				start := time.Now()
 				resp, err := client.Post(p.url, "", nil)
 				if err != nil {
 					b.Fatal(err)
@@ -46,7 +44,7 @@
 				if resp.StatusCode != http.StatusOK {
 					b.Fatalf("%s: %s", p.name, resp.Status)
 				}
-				h.RecordValue(time.Since(t0).Microseconds())
+				h.RecordValue(time.Since(start).Microseconds())
 			}
 			b.ReportMetric(float64((cpuTime()-cpu).Nanoseconds())/float64(b.N), "cpu-ns/op")
 			b.ReportMetric(float64(h.ValueAtQuantile(50)), "p50-us")
@@ -55,8 +53,8 @@
 	}
 }
 
-// cpuTime returns the user and system time of the whole process: client,
-// nodes and target together, so paths are compared by their difference.
+// cpuTime returns the user and system time of the process, which runs the
+// client, nodes and targets; compare paths by the difference.
 func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &ru)
--- a/node/http.go
+++ b/node/http.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// headerRetryAfterMs gives Retry-After to the millisecond.
+	// headerRetryAfterMs carries the retry-after in milliseconds.
 	headerRetryAfterMs = "Oatpin-Retry-After-Ms"
 	maxBody            = 1 << 20
 )
@@ -39,9 +39,9 @@
 	return mux
 }
 
-// handleCall serves a call from a caller (entry) or from the local target
-// (outbound, with the hop header set). Calls for this node's own service go
-// through the local chain; others are routed to a node of their service.
+// handleCall serves a call from a client (entry) or an outbound call of the
+// local target, which carries the hop header. Idempotent entry calls for this
+// node's service go to the local filter chain; all others are routed.
 func (n *Node) handleCall(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBody))
 	if err != nil {
@@ -62,9 +62,9 @@
 	}
 	hop := budget.Hop(req.Header.Get(call.HeaderHop))
 	if hop == "" {
-		n.entered.Add(1)
-		defer n.entered.Add(-1)
-		n.fillEntry(&r, g, op)
+		n.entryCalls.Add(1)
+		defer n.entryCalls.Add(-1)
+		n.fillDefaults(&r, g, op)
 		if n.leaving.Load() {
 			writeAnswer(w, filter.RefuseLeaving(r))
 			return
@@ -76,7 +76,7 @@
 	}
 	w.Header().Set(call.HeaderKey, string(r.Key))
 	var a call.Answer
-	if hop == "" && op.Idempotent && r.Service == n.service() {
+	if hop == "" && op.Idempotent && r.Service == n.localService() {
 		a = n.serveLocal(req.Context(), r)
 	} else {
 		a = n.forward(req.Context(), r, op, hop)
@@ -84,8 +84,8 @@
 	writeAnswer(w, a)
 }
 
-// bodyErrorCode tells a body over the limit, which is never cut to it, from
-// one that could not be read.
+// bodyErrorCode returns 413 for a body over the size limit and 400 for other
+// read errors.
 func bodyErrorCode(err error) int {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -94,11 +94,11 @@
 	return http.StatusBadRequest
 }
 
-// fillEntry fills what a caller left out: a request id, the operation's
-// deadline, the text's retry budget, which a caller cannot raise, and a key.
-// An idempotent operation gets a key too, for the actions it calls: its
-// retry must send them the same ones.
-func (n *Node) fillEntry(r *call.Request, g *callgraph.Graph, op *callgraph.Operation) {
+// fillDefaults sets the request ID, deadline, retry budget and idempotency
+// key that a client left out, and caps the deadline and budget at the
+// configured values. Idempotent operations get a key too, so that a retry
+// passes the same keys to the non-idempotent operations it calls.
+func (n *Node) fillDefaults(r *call.Request, g *callgraph.Graph, op *callgraph.Operation) {
 	if r.ID == "" {
 		r.ID = call.RequestID(uuid.NewString())
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func (n *Node) service() string {
+func (n *Node) localService() string {
 	g := n.graph.Load()
 	if g == nil {
 		return ""
@@ -125,8 +125,7 @@
 	return s.Name
 }
 
-// writeAnswer gives the caller its answer; a refusal carries Retry-After at
-// once, never held back.
+// writeAnswer writes a to the client; refusals carry Retry-After headers.
 func writeAnswer(w http.ResponseWriter, a call.Answer) {
 	h := w.Header()
 	h.Set(call.HeaderRequestID, string(a.ID))
@@ -144,8 +143,8 @@
 	w.Write(a.Body)
 }
 
-// retryAfter reads the come-back time of a refusal.
-func retryAfter(h http.Header) time.Duration {
+// parseRetryAfter returns the retry-after of a refusal, or 0.
+func parseRetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.ParseInt(h.Get(headerRetryAfterMs), 10, 64); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
--- a/node/inbound.go
+++ b/node/inbound.go
@@ -16,16 +16,16 @@
 	"github.com/oatpin/oatpin/filter"
 )
 
-// hopKey is the context key under which callTarget finds the call's hop.
-type hopKey struct{}
+// hopContextKey is the context key of the budget hop, read by callTarget.
+type hopContextKey struct{}
 
-// servePeer serves a call that came from another node.
+// servePeer handles a call received from another node.
 func (n *Node) servePeer(ctx context.Context, r call.Request) call.Answer {
 	return n.serveLocal(ctx, r)
 }
 
-// serveLocal runs a call for the local target through the filter chain. The
-// answer says how many retries were spent below this hop.
+// serveLocal runs a call for the local target through the filter chain.
+// RetriesUsed of the answer is the number of retries spent below this hop.
 func (n *Node) serveLocal(ctx context.Context, r call.Request) call.Answer {
 	g := n.graph.Load()
 	var op *callgraph.Operation
@@ -35,24 +35,24 @@
 	if op == nil {
 		return call.Refuse(r, ErrUnknownOperation.Error(), filter.MinRetryAfter)
 	}
-	if r.Service != n.service() || (r.To != "" && r.To != n.cfg.Settings.Instance) {
-		// The sender's text is older than the reuse of this address. An
-		// operation of the same name would answer for the wrong service, and
-		// declining a key would speak for the instance that was here.
+	if r.Service != n.localService() || (r.To != "" && r.To != n.cfg.Settings.Instance) {
+		// The sender's configuration predates the reassignment of this
+		// address. Not Declined: this node cannot answer for the instance
+		// that had the address.
 		return call.Refuse(r, ErrMisrouted.Error(), filter.MinRetryAfter)
 	}
-	hop := budget.Hop(string(r.ID) + "/" + strconv.FormatUint(n.hops.Add(1), 36))
-	n.ledger.Open(hop, r.Budget)
-	ctx = context.WithValue(detach(ctx, op), hopKey{}, hop)
-	a := n.local.Serve(ctx, &filter.Call{Request: &r, Op: op})
-	a.RetriesUsed = r.Budget - n.ledger.Close(hop)
-	n.stats.answered("local", op.Class, a.Status)
+	hop := budget.Hop(string(r.ID) + "/" + strconv.FormatUint(n.hopSeq.Add(1), 36))
+	n.budgets.Open(hop, r.Budget)
+	ctx = context.WithValue(detach(ctx, op), hopContextKey{}, hop)
+	a := n.localChain.Serve(ctx, &filter.Call{Request: &r, Op: op})
+	a.RetriesUsed = r.Budget - n.budgets.Close(hop)
+	n.stats.countAnswer("local", op.Class, a.Status)
 	return a
 }
 
-// callTarget sends a call that passed the chain to the local target over
-// HTTP. A call that could not be sent is NotRun; one that was sent and got
-// no answer is Unknown.
+// callTarget sends a call to the local target over HTTP. The answer is NotRun
+// if no connection could be made and Unknown if the call was sent but not
+// answered.
 func (n *Node) callTarget(ctx context.Context, c *filter.Call) call.Answer {
 	r := c.Request
 	url := n.cfg.Settings.Target + "/v1/" + r.Operation
@@ -61,8 +61,8 @@
 		return call.Refuse(*r, err.Error(), 0)
 	}
 	call.WriteHeaders(req.Header, *r)
-	hideKey(req.Header)
-	if hop, ok := ctx.Value(hopKey{}).(budget.Hop); ok {
+	lowercaseKeyHeader(req.Header)
+	if hop, ok := ctx.Value(hopContextKey{}).(budget.Hop); ok {
 		req.Header.Set(call.HeaderHop, string(hop))
 	}
 	resp, err := n.client.Do(req)
@@ -84,7 +84,7 @@
 	case resp.Header.Get(call.HeaderStatus) == string(call.NotRun):
 		a.Status = call.NotRun
 		a.Reason = resp.Header.Get(call.HeaderReason)
-		a.RetryAfter = retryAfter(resp.Header)
+		a.RetryAfter = parseRetryAfter(resp.Header)
 		a.Leaving = resp.Header.Get(call.HeaderLeaving) == "true"
 		a.Declined = a.Leaving && !c.Op.Idempotent
 	default:
@@ -94,19 +94,19 @@
 	return a
 }
 
-// hideKey writes the idempotency key's header in lower case, which servers
-// read all the same. The HTTP transport sends a request with an
-// Idempotency-Key again by itself when a reused connection breaks before an
-// answer; the target may have run the first, so an approval would run twice.
-// The transport looks for the canonical name only.
-func hideKey(h http.Header) {
+// lowercaseKeyHeader rewrites the Idempotency-Key header name in lower case.
+// net/http resends a request with this header when a reused connection
+// breaks, which could run a non-idempotent call twice; it checks the
+// canonical name only, while servers ignore case.
+func lowercaseKeyHeader(h http.Header) {
 	if v, ok := h[call.HeaderKey]; ok {
 		delete(h, call.HeaderKey)
 		h[strings.ToLower(call.HeaderKey)] = v
 	}
 }
 
-// isDialError reports whether err happened before anything was sent.
+// isDialError reports whether err occurred while connecting, before anything
+// was sent.
 func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -11,30 +11,28 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// leavingBound is the "few seconds" after which a leaving target gets no
-// new work: the watch of the VM list answers at once, so it holds the calls
-// in flight at that moment, with room to spare.
+// leavingBound is the time after which a leaving target must get no new
+// calls. It covers the VM list watch and the calls in flight.
 const leavingBound = 2 * time.Second
 
-// publish sends n publications spread over the entwurf instances and
-// returns how many came back whole.
+// publish sends n publications, spread over the entwurf instances, and
+// returns how many succeeded.
 func publish(t *testing.T, m *demo.Mesh, n int) int {
 	t.Helper()
 	ok := 0
 	for i := range n {
 		home := m.Graph.Services["entwurf"].Instances[i%3].DC
-		if callKeyed(t, entry(m, "entwurf", i%3), "entwurf", "publish", call.NewKey(string(home))) == call.OK {
+		if callKeyed(t, entryURL(m, "entwurf", i%3), "entwurf", "publish", call.NewKey(string(home))) == call.OK {
 			ok++
 		}
 	}
 	return ok
 }
 
-// The platform's VM list marks archiv-2 as leaving, and archiv-3's node is
-// stopped by its operator. Within a few seconds neither target may get new
-// work, or a replacement VM would lose calls when the old one goes; the
-// rest of the mesh must go on publishing whole.
-func TestLeavingTargetsGetNoNewWork(t *testing.T) {
+// Guards against calls being routed to an instance that the VM list marks as
+// leaving or whose node is shutting down, and against publications failing
+// meanwhile.
+func TestLeavingTargetsGetNoNewCalls(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
 	Convey("Leaving targets get no new calls after a few seconds", t, func() {
 		So(publish(t, m, 60), ShouldEqual, 60)
@@ -48,10 +46,9 @@
 	})
 }
 
-// versand-1's target drains by itself, as an operator empties it; its node
-// stays. Publications of its data centre must run at other instances rather
-// than be refused until somebody takes the target off the list.
-func TestDrainingTargetIsPassedOver(t *testing.T) {
+// Guards against publications being refused while one target drains and its
+// node keeps running: they must run at another instance.
+func TestDrainingTargetIsSkipped(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
 	Convey("Publications go on while one target drains", t, func() {
 		m.Targets["versand-1"].Drain()
--- a/node/lost_answer_test.go
+++ b/node/lost_answer_test.go
@@ -12,20 +12,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A peer is killed after it read a call and before it answered. The retries
-// it had already caused below it are never reported, so they count as the
-// whole budget it was given: a caller that handed its whole budget on and
-// then retried with all of it again would double the request's bound at
-// every hop where an answer is lost.
-func TestLostAnswersKeepTheRetryBound(t *testing.T) {
-	Convey("What lost calls may have spent and the retries sent stay within the bound", t, func() {
-		p1, p2 := startFakePeer(t, breaksOff), startFakePeer(t, breaksOff)
-		g := fakeText(t, "idempotent = true\nretries = 2", p1, p2)
+// Guards against exceeding the retry budget when answers are lost. Retries
+// below a lost call are never reported, so the whole budget passed on with it
+// must count as spent.
+func TestLostAnswersStayWithinRetryBudget(t *testing.T) {
+	Convey("Budget passed on with lost calls plus retries sent stays within the budget", t, func() {
+		p1, p2 := startFakePeer(t, disconnect), startFakePeer(t, disconnect)
+		g := fakeGraph(t, "idempotent = true\nretries = 2", p1, p2)
 		base := startNode(t, g, "front-1", "http://127.0.0.1:1")
 		st := callOp(t, base, "back", "op")
 		So(st, ShouldEqual, call.Unknown)
 		sent := append(p1.requests(), p2.requests()...)
-		So(len(sent), ShouldBeGreaterThanOrEqualTo, 2) // it did retry
+		So(len(sent), ShouldBeGreaterThanOrEqualTo, 2) // at least one retry was sent
 		spent := len(sent) - 1
 		for _, r := range sent {
 			spent += r.Budget
@@ -34,11 +32,10 @@
 	})
 }
 
-// The first try of a read is lost with its connection, after the target may
-// have run it; the second is refused by another instance. The caller must
-// not be told "not run" on the word of the second alone.
-func TestRefusalAfterALostTryIsNotCalledNotRun(t *testing.T) {
-	Convey("A try that may have run makes the answer unknown, not not_run", t, func() {
+// Guards against answering NotRun when the last attempt was refused but an
+// earlier one, whose answer was lost, may have run.
+func TestRefusalAfterLostAnswerIsUnknown(t *testing.T) {
+	Convey("An attempt that may have run makes the answer unknown, not not_run", t, func() {
 		var lost atomic.Bool
 		script := func(call.Request) *call.Answer {
 			if lost.CompareAndSwap(false, true) {
@@ -46,19 +43,17 @@
 			}
 			return &call.Answer{Status: call.NotRun, Reason: "busy"}
 		}
-		g := fakeText(t, "idempotent = true\nretries = 2", startFakePeer(t, script), startFakePeer(t, script))
+		g := fakeGraph(t, "idempotent = true\nretries = 2", startFakePeer(t, script), startFakePeer(t, script))
 		base := startNode(t, g, "front-1", "http://127.0.0.1:1")
 		st := callOp(t, base, "back", "op")
 		So(st, ShouldEqual, call.Unknown)
 	})
 }
 
-// A target runs an approval and its connection breaks before the answer is
-// out, on a connection that served a call before. net/http sends a request
-// that carries an Idempotency-Key again by itself then, and the approval
-// would run twice without any retry of the node's own.
-func TestTargetCallIsNotSentAgainByTheTransport(t *testing.T) {
-	Convey("A target that breaks off after running a call sees it once", t, func() {
+// Guards against net/http resending a request with an Idempotency-Key header
+// after a reused connection breaks, which would run the call twice.
+func TestTransportDoesNotResendKeyedCall(t *testing.T) {
+	Convey("A target that disconnects after running a call receives it once", t, func() {
 		var runs atomic.Int32
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -69,10 +64,10 @@
 				if err != nil {
 					return
 				}
-				go breakSecond(nc, &runs)
+				go disconnectOnSecond(nc, &runs)
 			}
 		}()
-		g := fakeText(t, "idempotent = false", startFakePeer(t, breaksOff))
+		g := fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect))
 		base := startNode(t, g, "back-1", "http://"+l.Addr().String())
 		st := callOp(t, base, "back", "op")
 		So(st, ShouldEqual, call.OK)
@@ -82,9 +77,9 @@
 	})
 }
 
-// breakSecond answers the first request on nc and keeps the connection,
-// then reads the second and breaks off.
-func breakSecond(nc net.Conn, runs *atomic.Int32) {
+// disconnectOnSecond answers the first request on nc and closes the
+// connection after reading the second.
+func disconnectOnSecond(nc net.Conn, runs *atomic.Int32) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for i := range 2 {
--- a/node/misrouted_test.go
+++ b/node/misrouted_test.go
@@ -11,14 +11,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A VM is replaced and its address goes to another instance. A node that
-// still holds the old address sends it a read meant for the service that was
-// there, and a dispatch meant for another instance of its own: the new
-// target must get neither, or an operation of the same name would answer for
-// the wrong service, and a refusal would speak for the wrong instance.
+// Guards against running a call sent to an address that was reassigned to
+// another service or instance, and against declining a key on behalf of the
+// previous instance.
 func TestMisroutedCallIsNotRun(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
-	Convey("versand-1's node refuses both before its target sees them", t, func() {
+	Convey("The node refuses both calls before they reach its target", t, func() {
 		conn, err := wire.Dial(context.Background(), m.Graph.Services["versand"].Instances[0].Peer, wire.DialConfig{})
 		So(err, ShouldBeNil)
 		defer conn.Close()
--- a/node/node.go
+++ b/node/node.go
@@ -21,71 +21,73 @@
 )
 
 const (
-	// dedupWindow is how long a non-idempotent key is remembered; longer
-	// than any deadline in the examples, so a client's late retry still
-	// finds it.
+	// dedupWindow is how long a non-idempotent call's key is remembered; it
+	// must exceed the operation deadlines, so that late client retries are
+	// recognized.
 	dedupWindow = 10 * time.Minute
-	// dedupBytes is what the answers kept for those keys may hold together: a
+	// dedupMaxAnswerBytes limits the total size of retained answers to a
 	// quarter of the node's 128 MB.
-	dedupBytes = 32 << 20
-	// drainGrace is how long a stopping node keeps answering "leaving"
-	// before it stops listening, so that peers learn of it first.
+	dedupMaxAnswerBytes = 32 << 20
+	// drainGrace is how long a stopping node keeps refusing calls as leaving
+	// before it waits for calls in flight, so that peers stop routing to it.
 	drainGrace = 2 * time.Second
-	// idlePoll is how often a stopping node looks whether it is done.
-	idlePoll = 10 * time.Millisecond
+	// idlePollInterval is how often a stopping node checks for calls in
+	// flight.
+	idlePollInterval = 10 * time.Millisecond
 )
 
 var (
-	// ErrNoInstance is the reason given when no instance of a service can
+	// ErrNoInstance is the refusal reason when no instance of a service can
 	// take a call.
 	ErrNoInstance = eris.New("no instance available")
-	// ErrUnknownOperation is the reason given for a call the text does not list.
+	// ErrUnknownOperation is the refusal reason for an operation that is not
+	// in the configuration.
 	ErrUnknownOperation = eris.New("operation not in the configuration text")
-	// ErrMisrouted is the reason given for a call that another node sent
-	// here but meant for another service or instance.
+	// ErrMisrouted is the refusal reason for a call received from another
+	// node that is for a different service or instance.
 	ErrMisrouted = eris.New("meant for another instance")
 )
 
 type (
-	// Config is what a Node is built from.
+	// Config configures a Node.
 	Config struct {
 		Settings settings.Node
-		Graph    *callgraph.Graph // text to start with; nil to wait for the platform
+		Graph    *callgraph.Graph // initial configuration; nil to wait for the platform
 		Log      log.Interface
 		Client   *http.Client // for the local target and the platform; nil for a default
-		// Skew is how far the clocks of callers and nodes may differ; 0
+		// Skew is the maximum clock difference between callers and nodes; 0
 		// when all run on one machine.
 		Skew time.Duration
 		// Dial opens a connection to a peer; nil for TCP.
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
-		// Baseline makes the node the naive one it is measured against:
-		// no admission by class and a retry of any failure at every hop,
-		// with no budget. Only for experiments.
+		// Baseline disables admission control, key ownership checks and retry
+		// budgets and retries any failure at every hop. For comparison
+		// measurements only.
 		Baseline bool
 	}
 
-	// Node is one running node.
+	// Node is the proxy of one target. It is safe for concurrent use.
 	Node struct {
-		cfg       Config
-		log       log.Interface
-		applying  sync.Mutex // held while a text is put in force
-		graph     atomic.Pointer[callgraph.Graph]
-		table     *route.Table
-		admission *filter.Admission
-		dedup     *filter.Dedup
-		book      *owner.Book
-		ledger    *budget.Ledger
-		leaving   atomic.Bool
-		local     filter.Handler
-		peers     *wire.Pool
-		client    *http.Client
-		retry     retryPolicy
-		hops      atomic.Uint64
-		entered   atomic.Int64  // calls of callers in flight
-		fetching  atomic.Bool   // a text is being fetched from a peer
-		alone     atomic.Bool   // the platform could not be reached last time
-		applied   chan struct{} // of one token: a text was put in force
-		stats     *stats
+		cfg            Config
+		log            log.Interface
+		applyMu        sync.Mutex // serializes Apply
+		graph          atomic.Pointer[callgraph.Graph]
+		table          *route.Table
+		admission      *filter.Admission
+		dedup          *filter.Dedup
+		ownership      *owner.Book
+		budgets        *budget.Ledger
+		leaving        atomic.Bool
+		localChain     filter.Handler
+		peers          *wire.Pool
+		client         *http.Client
+		policy         retryPolicy
+		hopSeq         atomic.Uint64
+		entryCalls     atomic.Int64  // client calls in flight
+		fetchingConfig atomic.Bool   // a configuration is being fetched from a peer
+		platformDown   atomic.Bool   // the latest configuration watch failed
+		applied        chan struct{} // buffered, capacity 1: a configuration was applied
+		stats          *stats
 
 		wire     wire.Server
 		http     *http.Server
@@ -94,15 +96,15 @@
 	}
 )
 
-// New builds a Node; Serve starts it.
+// New returns a Node for cfg; Serve or ServeOn starts it.
 func New(cfg Config) *Node {
 	n := &Node{
 		cfg:       cfg,
 		log:       cfg.Log,
 		table:     route.NewTable(cfg.Settings.DC),
 		admission: filter.NewAdmission(1),
-		dedup:     filter.NewDedup(dedupWindow, dedupBytes),
-		ledger:    budget.NewLedger(),
+		dedup:     filter.NewDedup(dedupWindow, dedupMaxAnswerBytes),
+		budgets:   budget.NewLedger(),
 		client:    cfg.Client,
 		applied:   make(chan struct{}, 1),
 		stop:      make(chan struct{}),
@@ -115,18 +117,18 @@
 	}
 	n.stats = newStats(cfg.Settings.Instance)
 	n.peers = wire.NewPool(wire.PoolConfig{From: cfg.Settings.Instance, Log: n.log, OnVersion: func(p wire.Peer, v uint64) { n.onPeerVersion(p.Name, v) }, Dial: cfg.Dial})
-	n.book = owner.NewBook(owner.Config{Instance: cfg.Settings.Instance, Window: dedupWindow, Skew: cfg.Skew, Gone: n.gone})
-	n.local = filter.Chain(filter.HandlerFunc(n.callTarget),
+	n.ownership = owner.NewBook(owner.Config{Instance: cfg.Settings.Instance, Window: dedupWindow, Skew: cfg.Skew, Gone: n.drainedBefore})
+	n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget),
 		filter.Deadline(cfg.Skew),
 		n.dedup.Filter(),
-		filter.Owner(n.book),
+		filter.Owner(n.ownership),
 		filter.Drain(&n.leaving),
 		n.admission.Filter(),
 	)
-	n.retry = budgeted{}
+	n.policy = budgetedPolicy{}
 	if cfg.Baseline {
-		n.local = filter.Chain(filter.HandlerFunc(n.callTarget), filter.Deadline(cfg.Skew), filter.Drain(&n.leaving), n.dedup.Filter())
-		n.retry = baseline{}
+		n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget), filter.Deadline(cfg.Skew), filter.Drain(&n.leaving), n.dedup.Filter())
+		n.policy = baselinePolicy{}
 	}
 	n.wire = wire.Server{Handler: n.servePeer, Version: n.version, OnVersion: n.onPeerVersion}
 	n.http = &http.Server{Handler: n.routes(), ReadHeaderTimeout: 5 * time.Second}
@@ -136,44 +138,45 @@
 	return n
 }
 
-// Serve listens on the settings' addresses and runs until Shutdown. It waits
-// out the clock skew first: a key that a caller makes from then on cannot
-// look older than this process.
+// Serve listens on the configured addresses and serves until Shutdown. It
+// waits out the clock skew first, so that keys created afterwards cannot
+// appear older than this process. It returns nil after Shutdown.
 func (n *Node) Serve() error {
-	time.Sleep(time.Until(n.book.Started()))
-	hl, err := net.Listen("tcp", n.cfg.Settings.HTTP)
+	time.Sleep(time.Until(n.ownership.Started()))
+	httpLn, err := net.Listen("tcp", n.cfg.Settings.HTTP)
 	if err != nil {
 		return eris.Wrapf(err, "listen http %s", n.cfg.Settings.HTTP)
 	}
-	pl, err := net.Listen("tcp", n.cfg.Settings.Peer)
+	peerLn, err := net.Listen("tcp", n.cfg.Settings.Peer)
 	if err != nil {
-		hl.Close()
+		httpLn.Close()
 		return eris.Wrapf(err, "listen peer %s", n.cfg.Settings.Peer)
 	}
-	return n.ServeOn(hl, pl)
+	return n.ServeOn(httpLn, peerLn)
 }
 
-// ServeOn runs on listeners the caller opened, until Shutdown.
-func (n *Node) ServeOn(hl, pl net.Listener) error {
+// ServeOn serves on the given HTTP and peer listeners until Shutdown, after
+// which it returns nil.
+func (n *Node) ServeOn(httpLn, peerLn net.Listener) error {
 	go n.watchConfig()
 	go n.watchVMs()
-	go n.exchangeTexts()
+	go n.gossipConfig()
 	go n.peers.KeepAlive(n.stop)
-	go n.wire.Serve(pl)
-	n.log.WithFields(log.Fields{"http": hl.Addr().String(), "peer": pl.Addr().String()}).Info("node_started")
-	go func() { <-n.stop; pl.Close() }()
-	err := n.http.Serve(hl)
+	go n.wire.Serve(peerLn)
+	n.log.WithFields(log.Fields{"http": httpLn.Addr().String(), "peer": peerLn.Addr().String()}).Info("node_started")
+	go func() { <-n.stop; peerLn.Close() }()
+	err := n.http.Serve(httpLn)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// Shutdown stops the node gracefully: new calls are refused with a
-// come-back time and a leaving mark, calls in flight finish, then the
-// listeners close. The listeners stay open until then: the target's calls to
-// its dependencies, for a request it is still serving, come in through them.
-// ctx bounds the wait.
+// Shutdown drains the node: it refuses new calls as leaving, waits for calls
+// in flight, then closes the listeners. The listeners stay open until then
+// because the outbound calls of requests still in progress arrive through
+// them. ctx bounds the wait; Shutdown returns the error of closing the HTTP
+// server.
 func (n *Node) Shutdown(ctx context.Context) error {
 	n.leaving.Store(true)
 	n.log.Info("node_leaving")
@@ -190,12 +193,11 @@
 	return err
 }
 
-// waitIdle waits until no request of a caller or a peer is being served and
-// every answer to a peer is written, or ctx ends.
+// waitIdle waits until no client or peer call is in flight or ctx is done.
 func (n *Node) waitIdle(ctx context.Context) {
-	t := time.NewTicker(idlePoll)
+	t := time.NewTicker(idlePollInterval)
 	defer t.Stop()
-	for n.entered.Load() > 0 || n.wire.InFlight() > 0 {
+	for n.entryCalls.Load() > 0 || n.wire.InFlight() > 0 {
 		select {
 		case <-t.C:
 		case <-ctx.Done():
@@ -204,13 +206,14 @@
 	}
 }
 
-// Ready reports whether the node can serve every call: it holds a text, has
-// read the VM list, which keyed calls wait for, and is not leaving.
+// Ready reports whether the node can serve every call: it has a
+// configuration, has read the VM list, which calls with an idempotency key
+// require, has waited out the clock skew and is not leaving.
 func (n *Node) Ready() bool {
-	return n.graph.Load() != nil && n.book.Confirmed() && !n.leaving.Load() && !time.Now().Before(n.book.Started())
+	return n.graph.Load() != nil && n.ownership.Confirmed() && !n.leaving.Load() && !time.Now().Before(n.ownership.Started())
 }
 
-// Graph returns the text in force, or nil.
+// Graph returns the active configuration, or nil.
 func (n *Node) Graph() *callgraph.Graph { return n.graph.Load() }
 
 func (n *Node) version() uint64 {
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -11,15 +11,15 @@
 	"github.com/oatpin/oatpin/wire"
 )
 
-// forward routes a call to a node of its service and retries within the
-// budget, which comes from the ledger when the call is the local target's
-// (hop set) and from the request at entry.
+// forward routes a call to a node of its service and retries within the retry
+// budget. The budget is leased from the hop for a call of the local target
+// (hop set) and taken from the request for a client call.
 func (n *Node) forward(ctx context.Context, r call.Request, op *callgraph.Operation, hop budget.Hop) call.Answer {
 	lease := r.Budget
 	if hop != "" {
-		lease = n.ledger.Lease(hop)
+		lease = n.budgets.Lease(hop)
 	}
-	s := &sending{r: r, op: op, lease: lease, deadline: time.Now().Add(r.Remaining)}
+	s := &outboundCall{r: r, op: op, lease: lease, deadline: time.Now().Add(r.Remaining)}
 	ctx, cancel := context.WithDeadline(detach(ctx, op), s.deadline)
 	defer cancel()
 	var a call.Answer
@@ -29,16 +29,16 @@
 		a = n.sendToOwner(ctx, s)
 	}
 	if hop != "" {
-		n.ledger.Return(hop, lease-s.spent)
+		n.budgets.Return(hop, lease-s.spent)
 	}
-	a = s.final(a)
-	n.stats.answered("outbound", op.Class, a.Status)
+	a = s.finalAnswer(a)
+	n.stats.countAnswer("outbound", op.Class, a.Status)
 	return a
 }
 
-// detach frees an action from its caller and connection. Once begun it runs
-// to its end or its deadline: broken off because its caller left or a
-// connection closed, nobody could say whether it ran.
+// detach makes a non-idempotent call independent of its caller's
+// cancellation, so that it runs until it ends or its deadline passes.
+// Cancelled midway, its outcome would be unknown.
 func detach(ctx context.Context, op *callgraph.Operation) context.Context {
 	if op.Idempotent {
 		return ctx
@@ -46,11 +46,10 @@
 	return context.WithoutCancel(ctx)
 }
 
-// sendToAny sends an idempotent call to instances of its service in turn. A
-// re-pick after a refusal that ran nothing because the instance was leaving
-// or unreachable spends no budget, and is bounded by the number of
-// instances.
-func (n *Node) sendToAny(ctx context.Context, s *sending) call.Answer {
+// sendToAny sends an idempotent call to instances of its service in turn.
+// Moving to another instance because one was leaving or unreachable ran
+// nothing and spends no retry; it is bounded by the number of instances.
+func (n *Node) sendToAny(ctx context.Context, s *outboundCall) call.Answer {
 	tried := map[string]bool{}
 	a := call.Refuse(s.r, ErrNoInstance.Error(), time.Second)
 	for ctx.Err() == nil {
@@ -68,45 +67,44 @@
 			n.table.SetDraining(in.Name)
 			continue
 		}
-		if !n.retry.again(a, s) {
+		if !n.policy.shouldRetry(a, s) {
 			break
 		}
-		n.countRetry(s)
+		n.recordRetry(s)
 	}
 	return a
 }
 
-// send sends one try to an instance and reports whether it was sent; one
-// that was not ran nowhere. The node's own instance is called in place.
-func (n *Node) send(ctx context.Context, s *sending, in callgraph.Instance) (call.Answer, bool) {
+// send makes one attempt at an instance and reports whether the call was
+// sent; if not, it did not run. The node's own instance is served locally.
+func (n *Node) send(ctx context.Context, s *outboundCall, in callgraph.Instance) (call.Answer, bool) {
 	if in.Name == n.cfg.Settings.Instance {
-		a := n.serveLocal(ctx, s.next(in.Name))
-		s.note(a)
+		a := n.serveLocal(ctx, s.newAttempt(in.Name))
+		s.recordAttempt(a)
 		return a, true
 	}
-	// A connection can close between get and Call, before anything is
-	// written; the second get dials anew.
+	// The connection can close between Get and Call; the second Get dials a
+	// new one.
 	for range 2 {
 		conn, err := n.peers.Get(ctx, wire.Peer{Name: in.Name, Addr: in.Peer})
 		if err != nil {
-			// A caller that gave up while the dial went on says nothing
-			// about the peer.
+			// A cancelled dial does not show that the peer is unreachable.
 			if ctx.Err() == nil && !errors.Is(err, wire.ErrRedialing) {
 				n.table.SetUnreachable(in.Name)
 			}
 			return call.Answer{}, false
 		}
-		a, err := conn.Call(ctx, s.next(in.Name), n.version())
+		a, err := conn.Call(ctx, s.newAttempt(in.Name), n.version())
 		if err == nil {
-			s.note(a)
+			s.recordAttempt(a)
 			return a, true
 		}
 	}
 	return call.Answer{}, false
 }
 
-func (n *Node) countRetry(s *sending) {
-	s.retries++
+func (n *Node) recordRetry(s *outboundCall) {
+	s.hopRetries++
 	s.spent++
-	n.stats.retried(s.r.Service)
+	n.stats.countRetry(s.r.Service)
 }
--- a/node/path_test.go
+++ b/node/publication_test.go
@@ -14,18 +14,18 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// startMesh runs text on free loopback ports until the test ends.
+// startMesh starts the deployment described by text on free loopback ports
+// and stops it when the test ends.
 func startMesh(t testing.TB, text []byte) *demo.Mesh {
 	t.Helper()
 	return startMeshWith(t, demo.Config{Text: text})
 }
 
-// startMeshWith runs cfg on free loopback ports, quietly, until the test
-// ends.
+// startMeshWith is like startMesh, for the deployment that cfg describes.
 func startMeshWith(t testing.TB, cfg demo.Config) *demo.Mesh {
 	t.Helper()
 	cfg.Platform, cfg.AnyPort = "127.0.0.1:0", true
-	cfg.Log = quiet()
+	cfg.Log = discardLogger()
 	m, err := demo.Start(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -38,14 +38,14 @@
 	return m
 }
 
-// send posts one call to the first instance of service and returns the
-// answer's status and body.
+// send posts one call to the first instance of service and returns the status
+// and body of the answer.
 func send(t *testing.T, m *demo.Mesh, service, op, key string) (call.Status, string) {
 	t.Helper()
-	return callWith(t, entry(m, service, 0), service, op, call.Request{ID: call.RequestID(key), Key: call.Key(key)})
+	return callWith(t, entryURL(m, service, 0), service, op, call.Request{ID: call.RequestID(key), Key: call.Key(key)})
 }
 
-func TestPublicationCrossesTheWholeChain(t *testing.T) {
+func TestPublicationReachesEveryService(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
 	Convey("A publication passes entwurf, freigabe, archiv and versand", t, func() {
 		key := string(call.NewKey("halle-nord"))
@@ -57,12 +57,11 @@
 	})
 }
 
-// A client retries one publication hard: five tries with the same key, some
-// at once. The subscribers must get it once; each try must be told the
-// same whole answer.
+// Guards against concurrent client retries with one key running a publication
+// more than once or getting different answers.
 func TestPublicationRunsAtMostOnceUnderClientRetries(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
-	Convey("Five tries of one key commit versand.dispatch once", t, func() {
+	Convey("Five calls with one key run versand.dispatch once", t, func() {
 		key := string(call.NewKey("halle-nord"))
 		var wg sync.WaitGroup
 		bodies := make([]string, 5)
@@ -87,9 +86,8 @@
 	})
 }
 
-// versand is draining, so the first call of archiv.store is refused. The
-// editor is told the publication did not run; nothing of it may have run
-// at any target, or a retry later would approve twice.
+// Guards against a NotRun answer for a publication that ran in part, which a
+// retry would then run again.
 func TestNotRunMeansNothingRan(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
 	for name, tg := range m.Targets {
@@ -97,7 +95,7 @@
 			tg.Drain()
 		}
 	}
-	Convey("A refused publication committed nothing anywhere", t, func() {
+	Convey("A refused publication takes effect at no target", t, func() {
 		st, _ := send(t, m, "entwurf", "publish", "")
 		So(st, ShouldEqual, call.NotRun)
 		for _, tg := range m.Targets {
@@ -106,11 +104,9 @@
 	})
 }
 
-// The deepest of eight services refuses every call, with no come-back time.
-// With a retry at every hop, each refusal is retried at each level above it
-// and the attempts grow as 2^8. The budget carried with the request must hold the retries
-// of the whole request to the text's bound of 3.
-func TestRetriesOverEightHopsStayWithinTheBudget(t *testing.T) {
+// Guards against retry amplification: with a retry at each of eight hops, the
+// attempts at the last service would grow as 2^8.
+func TestRetriesOverEightHopsStayWithinBudget(t *testing.T) {
 	text, err := os.ReadFile("testdata/chain.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -121,9 +117,9 @@
 	Convey("Retries caused over all hops stay within the budget", t, func() {
 		st, _ := send(t, m, "s1", "step", "")
 		So(st, ShouldEqual, call.NotRun)
-		// Every arrival at s_k but the first comes from a retry at some hop
-		// at or above it, and each arrival above s8 calls s8 once, so the
-		// retries of the request are the arrivals at s8 less one.
+		// Every arrival at service s_k but the first is caused by a retry at
+		// or above it, and each arrival above s8 calls s8 once, so the
+		// retries of the request are the arrivals at s8 minus one.
 		arrivals := m.Targets["s8-1"].Arrivals() + m.Targets["s8-2"].Arrivals()
 		So(arrivals-1, ShouldBeLessThanOrEqualTo, m.Graph.Retries)
 	})
--- a/node/silent_test.go
+++ b/node/silent_test.go
@@ -7,15 +7,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The connection to one of two instances goes silent: it takes calls and
-// delivers nothing. An editor's read that was sent on it must come back
-// whole from the other instance, well before its deadline of 5 s.
-func TestReadOnASilentConnectionIsAnsweredByAnother(t *testing.T) {
-	Convey("Reads sent to a silent and a sound instance all come back whole", t, func() {
+// Guards against an idempotent call waiting for its full deadline of 5 s on a
+// connection that accepts calls and delivers nothing.
+func TestReadFailsOverFromSilentConnection(t *testing.T) {
+	Convey("Calls to a silent and a healthy instance all succeed", t, func() {
 		silent := startFakePeer(t, func(call.Request) *call.Answer { select {} })
-		sound := startFakePeer(t, func(call.Request) *call.Answer { return &call.Answer{Status: call.OK} })
-		base := startNode(t, fakeText(t, "idempotent = true\nretries = 1\ndeadline = 5s", silent, sound), "front-1", "http://127.0.0.1:1")
-		for range 2 { // one of the two is picked for each
+		healthy := startFakePeer(t, func(call.Request) *call.Answer { return &call.Answer{Status: call.OK} })
+		base := startNode(t, fakeGraph(t, "idempotent = true\nretries = 1\ndeadline = 5s", silent, healthy), "front-1", "http://127.0.0.1:1")
+		for range 2 { // round-robin: each instance is picked first once
 			st := callOp(t, base, "back", "op")
 			So(st, ShouldEqual, call.OK)
 		}
--- a/node/stop_log_test.go
+++ b/node/stop_log_test.go
@@ -12,10 +12,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An operator stops a deployment and finds a warning of every node that the
-// platform is unreachable. It was up: the nodes' own stop ended their watches.
-func TestAStopIsNotTakenForAnOutage(t *testing.T) {
-	Convey("A stopping node tells of no lost dependency", t, func() {
+// Guards against a stopping node reporting the platform as unreachable
+// because its own watches were cancelled.
+func TestStopLogsNoOutage(t *testing.T) {
+	Convey("A stopping node logs no unreachable dependency", t, func() {
 		lines := memory.New()
 		m, err := demo.Start(demo.Config{Text: examples.KesslerRaab, Platform: "127.0.0.1:0", AnyPort: true,
 			Log: &log.Logger{Handler: lines, Level: log.InfoLevel}})
--- a/node/vms.go
+++ b/node/vm_list.go
@@ -10,49 +10,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// vmListLag is within which every node that reaches the platform has read a
-// change of the VM list: its watch answers at once, or it backs off and asks
-// again.
-const vmListLag = rewatchSpread + 2*watchBackoff
+// vmListPropagation is the time within which every node that can reach the
+// platform has read a change of the VM list.
+const vmListPropagation = rewatchJitter + 2*watchBackoff
 
-// watchVMs is the controller that follows the platform's VM list: peers
-// listed as leaving get no new calls, and when this node's own instance is
-// listed it starts to drain. The list lags, so a node's own Shutdown (which
-// marks its answers at once) is the fast path and the list the slow one.
-// While it cannot be read the last one stays in force: it is a hint.
+// watchVMs long-polls the platform's VM list until the node stops. Instances
+// listed as leaving get no new calls, and this node drains if its own
+// instance is listed. Shutdown, which marks answers as leaving, takes effect
+// sooner than the list. While the list is unavailable, the last one read is
+// kept.
 func (n *Node) watchVMs() {
 	var revision uint64
-	lost := false
+	unreachable := false
 	for !n.stopped() {
 		next, err := n.pollVMs(revision)
 		if n.stopped() {
 			return
 		}
 		if err != nil {
-			if !lost {
+			if !unreachable {
 				n.log.WithError(err).WithField("revision", revision).Warn("vm_list_unreachable")
 			}
-			lost = true
-			n.pause(watchBackoff)
+			unreachable = true
+			n.sleep(watchBackoff)
 			continue
 		}
-		if lost {
+		if unreachable {
 			n.log.WithField("revision", next).Info("vm_list_reachable")
 		}
-		lost = false
+		unreachable = false
 		if next != revision && revision != 0 {
-			n.pause(rand.N(rewatchSpread))
+			n.sleep(rand.N(rewatchJitter))
 		}
 		revision = next
 	}
 }
 
-// pollVMs waits once at the platform for a change of the VM list after
-// revision, puts it in force and returns the revision then held.
+// pollVMs issues one watch request for a VM list newer than revision, applies
+// it and returns the latest revision.
 func (n *Node) pollVMs(revision uint64) (uint64, error) {
 	ctx, cancel := n.watchContext()
 	defer cancel()
-	url := n.cfg.Settings.Platform + "/v1/vms?after=" + strconv.FormatUint(revision, 10) + "&wait=" + watchWait.String()
+	url := n.cfg.Settings.Platform + "/v1/vms?after=" + strconv.FormatUint(revision, 10) + "&wait=" + watchTimeout.String()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, err
@@ -67,11 +66,11 @@
 	case http.StatusNotModified:
 		return revision, nil
 	default:
-		return 0, eris.Errorf("vm list: %s", resp.Status)
+		return 0, eris.Errorf("fetch VM list: unexpected status %s", resp.Status)
 	}
 	var list configservice.VMList
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
-		return 0, eris.Wrap(err, "vm list")
+		return 0, eris.Wrap(err, "decode VM list")
 	}
 	n.applyVMs(list)
 	return list.Revision, nil
@@ -87,5 +86,5 @@
 			n.log.Info("node_leaving_by_vm_list")
 		}
 	}
-	n.book.Confirm()
+	n.ownership.Confirm()
 }
