--- a/account/book.go
+++ b/account/book.go
@@ -9,66 +9,65 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid is wrapped by every error about accounts that do not hold
-// together.
+// ErrInvalid is wrapped by every error that NewBook returns.
 var ErrInvalid = eris.New("invalid client accounts")
 
 type (
-	// Name names a client account.
+	// Name is the name of a client account.
 	Name string
 
-	// Digest is what is kept of an API key: enough to know it again, and of no
-	// use to whoever reads it in a message or in a process's memory.
+	// Digest is the SHA-256 hash of an API key. Keys are stored and compared as
+	// digests only, so that neither messages nor process memory reveal them.
 	Digest [sha256.Size]byte
 
-	// Account is one client account.
+	// Account is the configuration of one client account.
 	Account struct {
 		Name     Name
 		Keys     message.List[Digest]
-		Priority int     // 0 is refused last; goes before a route's
-		Rate     float64 // requests a second over all nodes; 0 for no limit
-		Burst    float64 // requests beyond that at once
+		Priority int     // 0 is the highest; takes precedence over the route's
+		Rate     float64 // requests per second over all nodes; 0 for no limit
+		Burst    float64 // requests admitted beyond Rate at once
 	}
 
-	// Book is the accounts of one version of the configuration. It never
-	// changes.
+	// Book holds the accounts of one configuration version. It is immutable and
+	// safe for concurrent use.
 	Book struct {
 		all        []Account
 		byKey      map[Digest]*Account
 		byName     map[Name]*Account
-		priorities []int // that accounts have, in order
+		priorities []int // distinct, ascending
 	}
 )
 
-// DigestOf returns the Digest of a key.
+// DigestOf returns the Digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// NewBook checks accounts whole; the error wraps ErrInvalid and names every
-// problem, by the names of accounts and never by their keys.
+// NewBook validates the accounts and indexes them. The error wraps ErrInvalid
+// and lists every problem by account name, without keys.
 func NewBook(all []Account) (*Book, error) {
 	b := &Book{all: all, byKey: map[Digest]*Account{}, byName: map[Name]*Account{}}
 	var problems []error
-	bad := func(a *Account, what string) {
-		problems = append(problems, eris.Errorf("account %q: %s", a.Name, what))
+	addProblem := func(a *Account, reason string) {
+		problems = append(problems, eris.Errorf("account %q: %s", a.Name, reason))
 	}
 	for i := range all {
 		a := &all[i]
 		if a.Name == "" {
-			bad(a, "no name")
+			addProblem(a, "missing name")
 		}
 		if b.byName[a.Name] != nil {
-			bad(a, "named twice")
+			addProblem(a, "duplicate name")
 		}
 		b.byName[a.Name] = a
 		if !(a.Rate >= 0) || !(a.Burst >= 0) {
-			bad(a, "negative rate or burst")
+			addProblem(a, "rate and burst must be non-negative numbers")
 		}
 		for _, k := range a.Keys {
 			if o := b.byKey[k]; o != nil && o.Name != a.Name {
-				bad(a, "holds a key of "+string(o.Name))
+				addProblem(a, "API key also belongs to account "+string(o.Name))
 			}
 			if k == DigestOf("") {
-				bad(a, "an empty key")
+				addProblem(a, "empty API key")
 			}
 			b.byKey[k] = a
 		}
@@ -82,19 +81,19 @@
 	return b, nil
 }
 
-// Holder returns the account that holds a key; nil for none. What is looked up
-// is the key's hash, so the time that takes tells nothing of how much of a key
-// is right.
+// Holder returns the account that an API key belongs to, or nil. The lookup is
+// by hash, so its timing does not reveal how much of a key is correct.
 func (b *Book) Holder(key string) *Account { return b.byKey[DigestOf(key)] }
 
-// Find returns the account of a name; nil for none.
+// Find returns the account with the given name, or nil.
 func (b *Book) Find(n Name) *Account { return b.byName[n] }
 
-// All returns the accounts; they must not be changed.
+// All returns all accounts. The caller must not modify the slice.
 func (b *Book) All() []Account { return b.all }
 
-// Rank orders accounts by their priorities, from 0 without gaps. Callers
-// without an account, on routes that are open to all, come with the last.
+// Rank returns the position of the account's priority among the distinct
+// priorities, starting at 0 for the highest. A nil account (a caller without a
+// key on an open route) gets the lowest rank.
 func (b *Book) Rank(a *Account) int {
 	if a == nil {
 		return max(len(b.priorities)-1, 0)
@@ -103,5 +102,5 @@
 	return i
 }
 
-// Ranks is how many ranks there are, 1 at least.
+// Ranks returns the number of distinct ranks, at least 1.
 func (b *Book) Ranks() int { return max(len(b.priorities), 1) }
--- a/account/book_test.go
+++ b/account/book_test.go
@@ -17,8 +17,8 @@
 	return ds
 }
 
-func TestAKeyIsItsHoldersOnly(t *testing.T) {
-	Convey("Each key of an account, whole, and no other", t, func() {
+func TestLookupByKey(t *testing.T) {
+	Convey("Each key finds its account; partial and unknown keys find none", t, func() {
 		b, err := NewBook([]Account{{Name: "a", Keys: digests("ka", "kb")}, {Name: "b", Keys: digests("kc")}, {Name: "c"}})
 		So(err, ShouldBeNil)
 		So(b.Holder("kb").Name, ShouldEqual, Name("a"))
@@ -31,20 +31,21 @@
 	})
 }
 
-// A version that gives a key to two accounts would let either pass for the
-// other. It must be refused whole, and its reason must not show the key.
-func TestAccountsThatDoNotHoldTogetherAreRefused(t *testing.T) {
+// A key that belongs to two accounts would let one client pass for the other.
+// The whole configuration must be rejected, and the error must not contain the
+// key.
+func TestInvalidAccountsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, says string
 		all        []Account
 	}{
-		{"a key of two accounts", "holds a key of a", []Account{{Name: "a", Keys: digests("secret")}, {Name: "b", Keys: digests("secret")}}},
-		{"no name", "no name", []Account{{}}},
-		{"a name twice", "named twice", []Account{{Name: "a"}, {Name: "a"}}},
-		{"a negative rate", "negative", []Account{{Name: "a", Rate: -1}}},
-		{"a negative burst", "negative", []Account{{Name: "a", Burst: -1}}},
-		{"a rate that is no number", "negative", []Account{{Name: "a", Rate: math.NaN()}}},
-		{"an empty key", "an empty key", []Account{{Name: "a", Keys: digests("")}}},
+		{"key shared by two accounts", "API key also belongs to account a", []Account{{Name: "a", Keys: digests("secret")}, {Name: "b", Keys: digests("secret")}}},
+		{"missing name", "missing name", []Account{{}}},
+		{"duplicate name", "duplicate name", []Account{{Name: "a"}, {Name: "a"}}},
+		{"negative rate", "rate and burst must be non-negative numbers", []Account{{Name: "a", Rate: -1}}},
+		{"negative burst", "rate and burst must be non-negative numbers", []Account{{Name: "a", Burst: -1}}},
+		{"NaN rate", "rate and burst must be non-negative numbers", []Account{{Name: "a", Rate: math.NaN()}}},
+		{"empty key", "empty API key", []Account{{Name: "a", Keys: digests("")}}},
 	} {
 		Convey(c.name, t, func() {
 			_, err := NewBook(c.all)
@@ -53,17 +54,17 @@
 			So(strings.Contains(err.Error(), "secret"), ShouldBeFalse)
 		})
 	}
-	Convey("The same key twice with one account, and every problem is named", t, func() {
+	Convey("A key repeated within one account is valid; the error lists every problem", t, func() {
 		_, err := NewBook([]Account{{Name: "a", Keys: digests("k", "k")}})
 		So(err, ShouldBeNil)
 		_, err = NewBook([]Account{{Name: "a", Rate: -1}, {Name: "a"}})
-		So(err.Error(), ShouldContainSubstring, "negative")
-		So(err.Error(), ShouldContainSubstring, "twice")
+		So(err.Error(), ShouldContainSubstring, "rate and burst must be non-negative numbers")
+		So(err.Error(), ShouldContainSubstring, "duplicate name")
 	})
 }
 
-func TestRanksHaveNoGaps(t *testing.T) {
-	Convey("In the order of priorities; callers without an account come last", t, func() {
+func TestRanksAreContiguous(t *testing.T) {
+	Convey("Ranks follow priorities; callers without an account rank last", t, func() {
 		b, err := NewBook([]Account{{Name: "a", Priority: 7}, {Name: "b", Priority: 0}, {Name: "c", Priority: 7}, {Name: "d", Priority: 3}})
 		So(err, ShouldBeNil)
 		So(b.Ranks(), ShouldEqual, 3)
--- a/account/demand.go
+++ b/account/demand.go
@@ -6,50 +6,54 @@
 )
 
 const (
-	// askedSpan is the time that a source's demand is the mean of: a surge
-	// shows within three reports.
-	askedSpan = time.Second
-	// leastSince bounds the rate that two reports shortly after each other show.
-	leastSince = 50 * time.Millisecond
-	// usualSpan is the same for the share of a source that is cut off: a surge
-	// beside the cut must not make it small.
-	usualSpan = 10 * time.Second
-	// markEvery is how old that is at least: longer than it takes to notice the
-	// cut.
-	markEvery = 1500 * time.Millisecond
+	// rateTimeConstant is the time constant of the moving average of a source's
+	// request rate. A surge shows within three reports.
+	rateTimeConstant = time.Second
+	// minInterval is the least interval over which a rate is computed, for
+	// reports that follow each other closely.
+	minInterval = 50 * time.Millisecond
+	// baselineTimeConstant is the time constant of the baseline rate, from
+	// which the share of a disconnected source is computed. A surge elsewhere
+	// must not shrink that share.
+	baselineTimeConstant = 10 * time.Second
+	// baselineInterval is the minimum interval between snapshots of the
+	// baseline. It exceeds the time needed to detect a partition, so that
+	// pastBaseline predates it.
+	baselineInterval = 1500 * time.Millisecond
 )
 
-// demand is what one source is asked for, a second.
+// demand is the request rate that one source reports for an account, in
+// requests per second.
 type demand struct {
-	rate     float64
-	usual    float64 // over a longer time
-	before   float64 // that, one or two marks ago
-	mark     float64
-	marked   time.Time
-	at       time.Time // when it was last told
-	gathered bool      // of a whole data centre
+	rate         float64 // moving average over rateTimeConstant
+	baseline     float64 // moving average over baselineTimeConstant
+	pastBaseline float64 // baseline one or two snapshots ago
+	snapshot     float64
+	snapshotAt   time.Time
+	reportedAt   time.Time // time of the last report
+	aggregated   bool      // the source reports for a whole data centre
 }
 
-// ask notes how often a source was asked since it told before. What is usual is
-// learnt while the account is well within its limit: a surge begins here first and
-// is heard of from elsewhere later, and the shares are to be those from before.
-func (d *demand) ask(n float64, since time.Duration, now time.Time, pressed bool) {
-	since = min(max(since, leastSince), askedSpan)
-	d.rate += (n/since.Seconds() - d.rate) * (1 - math.Exp(-since.Seconds()/askedSpan.Seconds()))
-	d.at = now
-	if pressed && d.before > 0 {
+// observe records n requests over the interval since the source's last report.
+// Near the limit the baseline is frozen: a surge is seen in local reports
+// before remote ones, and shares must come from the demand before it.
+func (d *demand) observe(n float64, interval time.Duration, now time.Time, nearLimit bool) {
+	interval = min(max(interval, minInterval), rateTimeConstant)
+	d.rate += (n/interval.Seconds() - d.rate) * (1 - math.Exp(-interval.Seconds()/rateTimeConstant.Seconds()))
+	d.reportedAt = now
+	if nearLimit && d.pastBaseline > 0 {
 		return
 	}
-	d.usual += (n/since.Seconds() - d.usual) * (1 - math.Exp(-since.Seconds()/usualSpan.Seconds()))
-	if now.Sub(d.marked) >= markEvery {
-		d.before, d.mark, d.marked = d.mark, d.usual, now
+	d.baseline += (n/interval.Seconds() - d.baseline) * (1 - math.Exp(-interval.Seconds()/baselineTimeConstant.Seconds()))
+	if now.Sub(d.snapshotAt) >= baselineInterval {
+		d.pastBaseline, d.snapshot, d.snapshotAt = d.snapshot, d.baseline, now
 	}
 }
 
-// part is a part of a whole, and none of nothing.
-func part(of, all float64) float64 {
-	if all == 0 {
+// ratio returns amount / total, or 0 if total is 0.
+func ratio(amount, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return of / all
+	return amount / total
 }
--- a/account/doc.go
+++ b/account/doc.go
@@ -1,3 +1,3 @@
-// Package account knows the client accounts of a deployment: whose API keys
-// they hold, how they rank, and what each may send over all nodes together.
+// Package account manages client accounts: API key lookup, request priorities
+// and rate limits that are enforced across all nodes of a deployment.
 package account
--- a/account/exchange.go
+++ b/account/exchange.go
@@ -8,81 +8,82 @@
 )
 
 const (
-	// tellEvery is how often a node tells of accounts that are near their
-	// limits, and a collector tells the other data centres'. An account that
-	// is asked for five times its rate must be known everywhere within a second.
-	tellEvery = 150 * time.Millisecond
-	// calmEvery is how often a node tells otherwise.
-	calmEvery = time.Second
-	// tellTime is how long the answer to a report may take.
-	tellTime = 400 * time.Millisecond
-	// aloneAfter is how long nobody must have taken a report for a node to go
-	// by its own share.
-	aloneAfter = 500 * time.Millisecond
-	// passedFor is how long a collector that did not answer is passed over.
-	passedFor = 3 * time.Second
-	// keptUpToDate is how many collectors of a data centre know what was let in:
-	// the one that its nodes tell and the next.
-	keptUpToDate = 2
-	// toldKept is how long a node goes on telling after it had usage to tell.
-	toldKept = 10 * time.Second
+	// reportInterval is how often a node reports accounts that are near their
+	// limits, and how often a collector forwards usage. All nodes must learn of
+	// an account at five times its rate within a second.
+	reportInterval = 150 * time.Millisecond
+	// idleInterval is the report interval when no account is near its limit.
+	idleInterval = time.Second
+	// reportTimeout bounds the wait for the answer to a report.
+	reportTimeout = 400 * time.Millisecond
+	// fallbackDelay is how long reports must have failed before a node limits
+	// accounts to its own share.
+	fallbackDelay = 500 * time.Millisecond
+	// collectorBackoff is how long a collector that failed to answer is
+	// skipped.
+	collectorBackoff = 3 * time.Second
+	// collectorsPerDC is how many collectors in each data centre receive usage:
+	// the active one and its standby.
+	collectorsPerDC = 2
+	// reportLinger is how long a node keeps reporting after it last had usage.
+	reportLinger = 10 * time.Second
 )
 
 type (
-	// ExchangeConfig is what an Exchange is built from.
+	// ExchangeConfig is the configuration of an Exchange.
 	ExchangeConfig struct {
 		Self Source // this node
 		DC   Source // its data centre
-		// Book returns the accounts in force; nil for none.
+		// Book returns the current accounts, or nil if there are none.
 		Book func() *Book
-		// Nodes returns the addresses of those that collect usage: in this data
-		// centre in the order in which they are to be asked, this one may be
-		// among them, and the same for each other. total is how many nodes there
-		// are.
+		// Nodes returns the addresses of the collectors in order of preference:
+		// those of this data centre (own, which may include this node) and
+		// those of each other data centre. total is the number of nodes.
 		Nodes func() (own []Source, others [][]Source, total int)
-		// Tell hands a report to a node and returns its answer.
+		// Tell sends a report to a node and returns its answer.
 		Tell func(ctx context.Context, at Source, r Report) ([]Standing, error)
-		// Failed is told of each report that a node did not take.
+		// Failed is called for each report that could not be delivered.
 		Failed func(at Source, err error)
 	}
 
-	// Exchange keeps a node's Limiter up to date: it tells one collector of its
-	// data centre what was let in here, and learns what is left. A collector
-	// adds up what the nodes of its data centre tell, and tells the others'.
-	// It is safe for concurrent use.
+	// Exchange keeps a node's Limiter up to date. It reports local usage to one
+	// collector in the data centre and applies the standings in the answer. On
+	// a collector it aggregates the usage of the data centre's nodes and
+	// forwards it to the collectors of the other data centres. It is safe for
+	// concurrent use.
 	Exchange struct {
 		cfg     ExchangeConfig
 		limiter *Limiter
 		tally   *Tally
 
-		// Only the goroutine that reports uses these.
-		reported time.Time // when this node last told
-		had      time.Time // when it last had usage to tell
-		failing  time.Time // since when nobody took a report; zero while one does
-		tells    Source    // the collector that it told last
+		// Used by the reporting goroutine only.
+		lastReport   time.Time // time of this node's last report
+		lastUsage    time.Time // time of the last report that contained usage
+		failingSince time.Time // zero while reports succeed
+		current      Source    // collector that received the last report
 
-		ticks int // of telling other collectors; only the goroutine that does uses it
+		ticks int // forwarding rounds; used by the forwarding goroutine only
 
-		mu       sync.Mutex
-		passed   map[Source]time.Time      // collectors that did not answer, until when
-		gathered map[Source]map[Name]Usage // for each collector elsewhere, since it was told
-		telling  map[Source]bool           // collectors that are being told
+		mu           sync.Mutex
+		backoffUntil map[Source]time.Time      // collectors that failed to answer
+		pending      map[Source]map[Name]Usage // by collector: usage not yet forwarded to it
+		inFlight     map[Source]bool           // collectors with an outstanding forward
 	}
 )
 
-// NewExchange returns an Exchange for a Limiter; Run starts it.
+// NewExchange returns an Exchange that updates l. Run starts it.
 func NewExchange(cfg ExchangeConfig, l *Limiter) *Exchange {
-	return &Exchange{cfg: cfg, limiter: l, tally: NewTally(), gathered: map[Source]map[Name]Usage{}, telling: map[Source]bool{}, passed: map[Source]time.Time{}}
+	return &Exchange{cfg: cfg, limiter: l, tally: NewTally(), pending: map[Source]map[Name]Usage{}, inFlight: map[Source]bool{}, backoffUntil: map[Source]time.Time{}}
 }
 
-// Run tells and learns until ctx ends.
+// Run reports and forwards usage until ctx is done.
 func (x *Exchange) Run(ctx context.Context) {
-	go x.each(ctx, func(b *Book) {
+	go x.loop(ctx, func(b *Book) {
 		own, others, _ := x.cfg.Nodes()
-		x.gather(x.tally.Charged(b))
-		x.tellOn(ctx, own, others)
+		x.enqueue(x.tally.Charged(b))
+		x.forward(ctx, own, others)
 	})
-	x.each(ctx, func(b *Book) {
+	x.loop(ctx, func(b *Book) {
 		own, others, total := x.cfg.Nodes()
 		if total > 0 {
 			x.limiter.Among(total)
@@ -91,9 +92,10 @@
 	})
 }
 
-// each calls f every tellEvery while there are accounts, until ctx ends.
-func (x *Exchange) each(ctx context.Context, f func(*Book)) {
-	for wait := tellEvery; ; {
+// loop calls f every reportInterval while there are accounts, until ctx is
+// done.
+func (x *Exchange) loop(ctx context.Context, f func(*Book)) {
+	for wait := reportInterval; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -101,167 +103,171 @@
 		}
 		b := x.cfg.Book()
 		if b == nil {
-			wait = calmEvery // there is nothing to tell
+			wait = idleInterval // nothing to report
 			continue
 		}
-		wait = tellEvery
+		wait = reportInterval
 		f(b)
 	}
 }
 
-// Take takes in what a node tells, and answers it.
+// Take processes a report from another node and returns the answer.
 func (x *Exchange) Take(r Report) []Standing {
 	book := x.cfg.Book()
 	if book == nil {
 		return nil
 	}
-	of := x.tally.Add(book, r)
+	standings := x.tally.Add(book, r)
 	if r.Gathered {
 		return nil
 	}
-	x.gather(r.Usage)
-	return of
+	x.enqueue(r.Usage)
+	return standings
 }
 
-// report tells a collector what this node let in.
+// report sends this node's usage to a collector. While no account is near its
+// limit it does so only every idleInterval.
 func (x *Exchange) report(ctx context.Context, book *Book, own []Source, others [][]Source) {
-	since := time.Since(x.reported)
-	if since < calmEvery-tellEvery/2 && x.failing.IsZero() && !x.limiter.Pressed(since) {
+	elapsed := time.Since(x.lastReport)
+	if elapsed < idleInterval-reportInterval/2 && x.failingSince.IsZero() && !x.limiter.Pressed(elapsed) {
 		return
 	}
 	us := x.limiter.Report()
 	if len(us) > 0 {
-		x.had = time.Now()
+		x.lastUsage = time.Now()
 	}
-	if time.Since(x.had) > toldKept {
+	if time.Since(x.lastUsage) > reportLinger {
 		return
 	}
-	x.reported = time.Now()
+	x.lastReport = time.Now()
 	r := Report{From: x.cfg.Self, Usage: us}
 	at, ok := x.collector(own, others)
 	if !ok {
 		x.limiter.Untold(us)
-		x.failed(book)
+		x.reportFailed(book)
 		return
 	}
-	x.moveTo(ctx, at)
+	x.switchCollector(ctx, at)
 	if at == x.cfg.Self {
-		x.learnt(book, x.Take(r))
+		x.applyStandings(book, x.Take(r))
 		return
 	}
-	tctx, cancel := context.WithTimeout(ctx, tellTime)
+	reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	of, err := x.cfg.Tell(tctx, at, r)
+	standings, err := x.cfg.Tell(reportCtx, at, r)
 	if err == nil {
-		x.learnt(book, of)
+		x.applyStandings(book, standings)
 		return
 	}
 	x.limiter.Untold(us)
-	x.passOver(at, err)
-	x.failed(book)
+	x.backOff(at, err)
+	x.reportFailed(book)
 }
 
-// moveTo lets the collector that this node told before know that it tells another.
-func (x *Exchange) moveTo(ctx context.Context, at Source) {
-	before := x.tells
-	if x.tells = at; before == at || before == "" {
+// switchCollector makes collector at the current one and tells the previous one
+// that this node has moved.
+func (x *Exchange) switchCollector(ctx context.Context, at Source) {
+	previous := x.current
+	if x.current = at; previous == at || previous == "" {
 		return
 	}
 	r := Report{From: x.cfg.Self, Moved: true}
-	if before == x.cfg.Self {
+	if previous == x.cfg.Self {
 		x.Take(r)
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, tellTime)
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		if _, err := x.cfg.Tell(ctx, before, r); err != nil {
-			x.cfg.Failed(before, err)
+		if _, err := x.cfg.Tell(ctx, previous, r); err != nil {
+			x.cfg.Failed(previous, err)
 		}
 	}()
 }
 
-func (x *Exchange) learnt(book *Book, of []Standing) {
-	x.failing = time.Time{}
-	x.limiter.Learn(book, of)
+func (x *Exchange) applyStandings(book *Book, standings []Standing) {
+	x.failingSince = time.Time{}
+	x.limiter.Learn(book, standings)
 }
 
-// failed notes that nobody took a report.
-func (x *Exchange) failed(book *Book) {
-	if x.failing.IsZero() {
-		x.failing = time.Now()
+// reportFailed records a failed report and isolates the limiter once reports
+// have failed for fallbackDelay.
+func (x *Exchange) reportFailed(book *Book) {
+	if x.failingSince.IsZero() {
+		x.failingSince = time.Now()
 	}
-	if time.Since(x.failing) >= aloneAfter {
+	if time.Since(x.failingSince) >= fallbackDelay {
 		x.limiter.Alone(book)
 	}
 }
 
-// gather adds what nodes told to what the collectors elsewhere are to know.
-func (x *Exchange) gather(us []Usage) {
+// enqueue adds usage to what is pending for every collector.
+func (x *Exchange) enqueue(us []Usage) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, all := range x.gathered {
+	for _, queued := range x.pending {
 		for _, u := range us {
-			sum := all[u.Account]
-			all[u.Account] = Usage{Account: u.Account, Asked: sum.Asked + u.Asked, Admitted: sum.Admitted + u.Admitted}
+			sum := queued[u.Account]
+			queued[u.Account] = Usage{Account: u.Account, Asked: sum.Asked + u.Asked, Admitted: sum.Admitted + u.Admitted}
 		}
 	}
 }
 
-// tellOn tells the collectors elsewhere what this one gathered, and the next in
-// its own place and theirs, half as often: who takes over is to know what was
-// used up. A node that others ask in the collector's place tells that one.
-func (x *Exchange) tellOn(ctx context.Context, own []Source, others [][]Source) {
-	near := x.candidates(own)
-	collects := len(near) > 0 && near[0] == x.cfg.Self
-	var to []Source
-	for _, at := range near {
+// forward sends pending usage to the collectors of the other data centres and,
+// half as often, to the standbys here and there, which must know the usage when
+// they take over. A standby that received reports itself forwards them to the
+// active collector.
+func (x *Exchange) forward(ctx context.Context, own []Source, others [][]Source) {
+	localCollectors := x.available(own)
+	isCollector := len(localCollectors) > 0 && localCollectors[0] == x.cfg.Self
+	var recipients []Source
+	for _, at := range localCollectors {
 		if at != x.cfg.Self {
-			to = append(to, at)
+			recipients = append(recipients, at)
 		}
 	}
-	next := slices.Clone(to) // in a collector's place
+	standbys := slices.Clone(recipients)
 	for _, dc := range others {
-		there := x.candidates(dc)
-		to = append(to, there...)
-		next = append(next, there[min(1, len(there)):]...)
+		remote := x.available(dc)
+		recipients = append(recipients, remote...)
+		standbys = append(standbys, remote[min(1, len(remote)):]...)
 	}
 	x.ticks++
-	later := func(at Source) bool { return collects && x.ticks%2 == 0 && slices.Contains(next, at) }
-	for at, us := range x.swap(to, later) {
-		if len(us) == 0 && !collects {
-			x.done(at)
+	deferred := func(at Source) bool { return isCollector && x.ticks%2 == 0 && slices.Contains(standbys, at) }
+	for at, us := range x.takePending(recipients, deferred) {
+		if len(us) == 0 && !isCollector {
+			x.clearInFlight(at)
 			continue
 		}
-		go x.tellGathered(ctx, at, Report{From: x.cfg.DC, Gathered: true, Usage: us, Standby: collects && slices.Contains(near, at)})
+		go x.forwardTo(ctx, at, Report{From: x.cfg.DC, Gathered: true, Usage: us, Standby: isCollector && slices.Contains(localCollectors, at)})
 	}
 }
 
-// tellGathered tells one collector. What one that is cut off was not told is
-// dropped: it keeps this data centre's share from its own nodes meanwhile, and
-// what was let in long ago would be taken off a second time.
-func (x *Exchange) tellGathered(ctx context.Context, at Source, r Report) {
-	defer x.done(at)
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+// forwardTo sends one forward. Usage that an unreachable collector missed is
+// dropped: it already reserves this data centre's share, and counting old usage
+// later would deduct it twice.
+func (x *Exchange) forwardTo(ctx context.Context, at Source, r Report) {
+	defer x.clearInFlight(at)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if _, err := x.cfg.Tell(ctx, at, r); err != nil {
-		x.passOver(at, err)
+		x.backOff(at, err)
 	}
 }
 
-// done notes that a collector may be told again.
-func (x *Exchange) done(at Source) {
+// clearInFlight allows the next forward to a collector.
+func (x *Exchange) clearInFlight(at Source) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.telling, at)
+	delete(x.inFlight, at)
 }
 
-// collector is the one that this node is to tell: of its own data centre, or of
-// another where none of its own answers.
+// collector returns the collector that this node reports to: one in its own
+// data centre, or in another if none of its own is available.
 func (x *Exchange) collector(own []Source, others [][]Source) (at Source, ok bool) {
 	for _, dc := range append([][]Source{own}, others...) {
-		if of := x.candidates(dc); len(of) > 0 {
-			return of[0], true
+		if collectors := x.available(dc); len(collectors) > 0 {
+			return collectors[0], true
 		}
 	}
 	if len(own) == 0 {
@@ -270,48 +276,48 @@
 	return own[0], true
 }
 
-// candidates are the first of some collectors that are not passed over, as many
-// as are kept up to date.
-func (x *Exchange) candidates(of []Source) []Source {
+// available returns the first collectorsPerDC collectors that are not backed
+// off.
+func (x *Exchange) available(collectors []Source) []Source {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := time.Now()
 	var out []Source
-	for _, at := range of {
-		if len(out) < keptUpToDate && !x.passed[at].After(now) {
+	for _, at := range collectors {
+		if len(out) < collectorsPerDC && !x.backoffUntil[at].After(now) {
 			out = append(out, at)
 		}
 	}
 	return out
 }
 
-// passOver lets another collector take the place of one for a while.
-func (x *Exchange) passOver(at Source, err error) {
+// backOff reports a failure and skips the collector for collectorBackoff.
+func (x *Exchange) backOff(at Source, err error) {
 	x.cfg.Failed(at, err)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.passed[at] = time.Now().Add(passedFor)
+	x.backoffUntil[at] = time.Now().Add(collectorBackoff)
 }
 
-// swap takes what was gathered for each of some collectors, but for those that
-// are being told or are to be told later.
-func (x *Exchange) swap(others []Source, later func(Source) bool) map[Source][]Usage {
+// takePending removes and returns the pending usage of each recipient, except
+// those that are deferred or have a forward in flight.
+func (x *Exchange) takePending(recipients []Source, deferred func(Source) bool) map[Source][]Usage {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	out := make(map[Source][]Usage, len(others))
-	next := make(map[Source]map[Name]Usage, len(others))
-	for _, at := range others {
-		if all := x.gathered[at]; all != nil && (x.telling[at] || later(at)) {
-			next[at] = all
+	out := make(map[Source][]Usage, len(recipients))
+	remaining := make(map[Source]map[Name]Usage, len(recipients))
+	for _, at := range recipients {
+		if queued := x.pending[at]; queued != nil && (x.inFlight[at] || deferred(at)) {
+			remaining[at] = queued
 			continue
 		}
-		us := make([]Usage, 0, len(x.gathered[at]))
-		for _, u := range x.gathered[at] {
+		us := make([]Usage, 0, len(x.pending[at]))
+		for _, u := range x.pending[at] {
 			us = append(us, u)
 		}
-		out[at], next[at] = us, map[Name]Usage{}
-		x.telling[at] = true
+		out[at], remaining[at] = us, map[Name]Usage{}
+		x.inFlight[at] = true
 	}
-	x.gathered = next
+	x.pending = remaining
 	return out
 }
--- a/account/limiter.go
+++ b/account/limiter.go
@@ -6,64 +6,63 @@
 )
 
 const (
-	// mostWait is the longest time after which a refused caller is told to come
-	// back.
-	mostWait = 5 * time.Second
-	// aloneTokens is how many requests of an account that it knows nothing of a
-	// node lets in at once that cannot ask the others.
-	aloneTokens = 1
-	// freshFor is how long what was told of an account holds of which nothing is
-	// held back. A node that is cut off when it does not know yet that the account
-	// goes up would let in all of it.
-	freshFor = 300 * time.Millisecond
-	// calmAsked is how many more requests than its share a node may see by
-	// chance between two reports.
-	calmAsked = 3
+	// maxRetryAfter bounds the retry delay given to a refused caller.
+	maxRetryAfter = 5 * time.Second
+	// isolatedTokens is the least capacity of an account's bucket while the
+	// node cannot reach a collector.
+	isolatedTokens = 1
+	// standingTTL is how long an unrestricted standing is valid. Without it, a
+	// node that is disconnected as a surge begins would admit the account's
+	// full rate.
+	standingTTL = 300 * time.Millisecond
+	// demandSlack is how many requests above its share a node may see by chance
+	// between two reports.
+	demandSlack = 3
 )
 
 type (
-	// Limiter decides at one node which requests of accounts are within their
-	// limits over all nodes, by what a Tally last said of them. It is safe for
-	// concurrent use.
+	// Limiter enforces the accounts' rate limits at one node, based on the last
+	// standings from a collector's Tally. It is safe for concurrent use.
 	Limiter struct {
 		mu       sync.Mutex
-		accounts map[Name]*bucket
-		alone    bool // nothing is heard of the others
-		nodes    int  // there are, as last known
+		buckets  map[Name]*bucket
+		isolated bool // no collector is reachable
+		nodes    int  // number of nodes, as last reported
 	}
 
-	// bucket is the node's own part of an account's tokens.
+	// bucket is a node's local token bucket for one account.
 	bucket struct {
-		tokens float64
-		at     time.Time // when they were so many
-		rate   float64   // at which they grow
-		most   float64   // to which
+		tokens     float64
+		refilledAt time.Time // time as of which tokens is valid
+		rate       float64   // tokens per second
+		capacity   float64
 
-		// What a Tally said last, and when; zero before it did.
-		toldAt  time.Time
-		share   float64 // of the account's rate that is this node's
-		fair    float64 // that, in requests a second
-		free    bool    // nothing is held back
-		pressed bool    // the account is near its limit
+		// From the last Standing; zero before the first.
+		standingAt   time.Time
+		share        float64 // fraction of the account's rate
+		fairRate     float64 // share in requests per second
+		unrestricted bool    // the node may use the account's full rate
+		nearLimit    bool    // the account is near its limit over all nodes
 
-		// What the next report tells. told says that the account was in the
-		// last one: the next says that it is asked for no more.
-		asked, admitted int32
-		told            bool
+		// Usage since the last report. If reported is set, the account was in
+		// the last report, and the next one includes it even with zero usage.
+		requested, admitted int32
+		reported            bool
 
-		promised time.Time // when the last of the refused callers was told to come
+		lastRetryAt time.Time // latest retry time given to a refused caller
 	}
 )
 
-// NewLimiter returns a Limiter that was told nothing, and goes by an even share
-// until it is: what all nodes let in before they were started anew counts too.
+// NewLimiter returns a Limiter that restricts the node to an even share until
+// the first standings arrive, since usage before a restart of all nodes still
+// counts.
 func NewLimiter() *Limiter {
-	return &Limiter{accounts: map[Name]*bucket{}, nodes: 1, alone: true}
+	return &Limiter{buckets: map[Name]*bucket{}, nodes: 1, isolated: true}
 }
 
-// Take lets a request of an account in, if that is within its limit, or says
-// when there will be room for one.
-func (l *Limiter) Take(a *Account) (ok bool, after time.Duration) {
+// Take takes a token for a request of the account. If there is none, it returns
+// false and when the caller should retry. A nil account is not limited.
+func (l *Limiter) Take(a *Account) (ok bool, retryAfter time.Duration) {
 	if a == nil || a.Rate <= 0 {
 		return true, 0
 	}
@@ -72,179 +71,178 @@
 	now := time.Now()
 	b := l.bucket(a, now)
 	b.refill(now)
-	if b.free && now.Sub(b.toldAt) > freshFor {
-		b.holdBack(a, b.share, calmAsked)
+	if b.unrestricted && now.Sub(b.standingAt) > standingTTL {
+		b.restrict(a, b.share, demandSlack)
 	}
-	b.asked++
+	b.requested++
 	if b.tokens > 0 {
 		b.tokens--
 		b.admitted++
 		return true, 0
 	}
-	return false, b.promise(now)
+	return false, b.scheduleRetry(now)
 }
 
-// Return gives back what was taken for a request that did not run.
+// Return gives back the token of a request that was not run.
 func (l *Limiter) Return(a *Account) {
 	if a == nil || a.Rate <= 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if b := l.accounts[a.Name]; b != nil {
+	if b := l.buckets[a.Name]; b != nil {
 		b.tokens++
 		b.admitted--
 	}
 }
 
-// bucket returns an account's bucket. One that nothing was told of is full, if
-// the others can be asked: the next report is some tenths of a second away, and a
-// node sees few requests of an account in that time.
+// bucket returns the account's bucket. A new bucket is full if a collector is
+// reachable: the next report is due within tenths of a second, and a node sees
+// few requests of an account until then.
 func (l *Limiter) bucket(a *Account, now time.Time) *bucket {
-	b := l.accounts[a.Name]
+	b := l.buckets[a.Name]
 	if b == nil {
-		b = &bucket{tokens: depth(a), at: now, rate: a.Rate, most: depth(a)}
-		if l.alone {
-			b.holdBack(a, 1/float64(l.nodes), aloneTokens)
+		b = &bucket{tokens: bucketCapacity(a), refilledAt: now, rate: a.Rate, capacity: bucketCapacity(a)}
+		if l.isolated {
+			b.restrict(a, 1/float64(l.nodes), isolatedTokens)
 		}
-		l.accounts[a.Name] = b
+		l.buckets[a.Name] = b
 	}
 	return b
 }
 
 func (b *bucket) refill(now time.Time) {
-	b.tokens = min(b.tokens+b.rate*now.Sub(b.at).Seconds(), b.most)
-	b.at = now
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.refilledAt).Seconds(), b.capacity)
+	b.refilledAt = now
 }
 
-// promise returns when a refused caller is to come back, after those refused
-// before it, so that they come at the rate at which they can be let in.
-func (b *bucket) promise(now time.Time) time.Duration {
+// scheduleRetry returns the retry delay for a refused caller. Retries are
+// spaced so that they arrive at the rate at which they can be admitted.
+func (b *bucket) scheduleRetry(now time.Time) time.Duration {
 	if b.rate <= 0 {
-		return mostWait
+		return maxRetryAfter
 	}
-	each := time.Duration(float64(time.Second) / b.rate)
-	open := now.Add(time.Duration(-b.tokens * float64(each)))
-	if b.promised.After(open) {
-		open = b.promised
+	interval := time.Duration(float64(time.Second) / b.rate)
+	next := now.Add(time.Duration(-b.tokens * float64(interval)))
+	if b.lastRetryAt.After(next) {
+		next = b.lastRetryAt
 	}
-	b.promised = open.Add(each)
-	if wait := b.promised.Sub(now); wait < mostWait {
+	b.lastRetryAt = next.Add(interval)
+	if wait := b.lastRetryAt.Sub(now); wait < maxRetryAfter {
 		return wait
 	}
-	b.promised = now.Add(mostWait)
-	return mostWait
+	b.lastRetryAt = now.Add(maxRetryAfter)
+	return maxRetryAfter
 }
 
-// Report returns what the node was asked for and let in since the report
-// before.
+// Report returns the usage since the previous call.
 func (l *Limiter) Report() []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var us []Usage
-	for name, b := range l.accounts {
-		if b.asked > 0 || b.admitted != 0 || b.told {
-			us = append(us, Usage{Account: name, Asked: b.asked, Admitted: b.admitted})
+	for name, b := range l.buckets {
+		if b.requested > 0 || b.admitted != 0 || b.reported {
+			us = append(us, Usage{Account: name, Asked: b.requested, Admitted: b.admitted})
 		}
-		b.told = b.asked > 0
-		b.asked, b.admitted = 0, 0
+		b.reported = b.requested > 0
+		b.requested, b.admitted = 0, 0
 	}
 	return us
 }
 
-// Pressed reports whether some account is near its limit, or was asked for more
-// in a time than is this node's share: the others are to know of that soon.
-func (l *Limiter) Pressed(in time.Duration) bool {
+// Pressed reports whether an account in use is near its limit or exceeded this
+// node's share over the elapsed time, so that usage must be reported soon.
+func (l *Limiter) Pressed(elapsed time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, b := range l.accounts {
-		if b.asked > 0 && (b.pressed || float64(b.asked) > b.fair*in.Seconds()+calmAsked) {
+	for _, b := range l.buckets {
+		if b.requested > 0 && (b.nearLimit || float64(b.requested) > b.fairRate*elapsed.Seconds()+demandSlack) {
 			return true
 		}
 	}
 	return false
 }
 
-// Untold takes back a report that nobody took: it goes with the next.
+// Untold puts back the usage of a report that failed, to be sent with the next.
 func (l *Limiter) Untold(us []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range us {
-		if b := l.accounts[u.Account]; b != nil {
-			b.asked += u.Asked
+		if b := l.buckets[u.Account]; b != nil {
+			b.requested += u.Asked
 			b.admitted += u.Admitted
 		}
 	}
 }
 
-// Learn takes over how the accounts of the last report stand.
-func (l *Limiter) Learn(book *Book, of []Standing) {
+// Learn applies the standings from the answer to a report.
+func (l *Limiter) Learn(book *Book, standings []Standing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.alone = false
+	l.isolated = false
 	now := time.Now()
-	for _, s := range of {
+	for _, s := range standings {
 		a := book.Find(s.Account)
-		b := l.accounts[s.Account]
+		b := l.buckets[s.Account]
 		if a == nil || b == nil {
 			continue
 		}
-		b.share, b.at, b.toldAt = float64(s.Share), now, now
+		b.share, b.refilledAt, b.standingAt = float64(s.Share), now, now
 		b.tokens = float64(s.Tokens) - float64(b.admitted)
-		b.rate, b.most = a.Rate*b.share, depth(a)
-		b.fair = b.rate
-		if b.free, b.pressed = s.Free, !s.Free; s.Free {
+		b.rate, b.capacity = a.Rate*b.share, bucketCapacity(a)
+		b.fairRate = b.rate
+		if b.unrestricted, b.nearLimit = s.Free, !s.Free; s.Free {
 			b.rate = a.Rate
 		}
 	}
 }
 
-// Among notes how many nodes there are.
+// Among sets the number of nodes.
 func (l *Limiter) Among(nodes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = max(nodes, 1)
 }
 
-// Alone notes that nobody took reports for some time, so nobody knows what the
-// others let in. Each account goes on with the share of its rate that this node
-// had, or an even one.
+// Alone switches to isolated mode when no collector is reachable. Each account
+// is restricted to the node's last known share of its rate, or to an even share
+// if that is more.
 func (l *Limiter) Alone(book *Book) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.alone {
+	if l.isolated {
 		return
 	}
-	l.alone = true
+	l.isolated = true
 	now := time.Now()
-	for name, b := range l.accounts {
+	for name, b := range l.buckets {
 		if a := book.Find(name); a != nil {
 			b.refill(now)
-			b.holdBack(a, max(b.share, 1/float64(l.nodes)), aloneTokens)
+			b.restrict(a, max(b.share, 1/float64(l.nodes)), isolatedTokens)
 		}
 	}
 }
 
-// holdBack lets this node take its share only, and a few requests where that is
-// less.
-func (b *bucket) holdBack(a *Account, share, least float64) {
-	b.free, b.rate = false, a.Rate*share
-	b.most = max(depth(a)*share, least)
-	b.tokens = min(b.tokens, b.most)
+// restrict limits the bucket to a share of the account's rate and burst, with a
+// capacity of at least minTokens.
+func (b *bucket) restrict(a *Account, share, minTokens float64) {
+	b.unrestricted, b.rate = false, a.Rate*share
+	b.capacity = max(bucketCapacity(a)*share, minTokens)
+	b.tokens = min(b.tokens, b.capacity)
 }
 
-// Keep forgets the accounts that a Book does not have, and takes over the
-// limits of the others.
+// Keep removes accounts that are not in book and applies lowered limits to the
+// others.
 func (l *Limiter) Keep(book *Book) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, b := range l.accounts {
+	for name, b := range l.buckets {
 		a := book.Find(name)
 		if a == nil {
-			delete(l.accounts, name)
+			delete(l.buckets, name)
 			continue
 		}
-		b.rate, b.most = min(b.rate, a.Rate), min(b.most, depth(a))
-		b.tokens = min(b.tokens, b.most)
+		b.rate, b.capacity = min(b.rate, a.Rate), min(b.capacity, bucketCapacity(a))
+		b.tokens = min(b.tokens, b.capacity)
 	}
 }
--- a/account/tally.go
+++ b/account/tally.go
@@ -7,176 +7,181 @@
 )
 
 const (
-	// silentAfter is when a node that has not said that it is done counts as cut
-	// off, and gatheredSilent when a data centre does, which tells more often: it
-	// goes on with its share by itself.
-	silentAfter    = 2 * time.Second
-	pressedSilent  = 1200 * time.Millisecond // of an account near its limit
-	gatheredSilent = 700 * time.Millisecond
-	// backlogKept is how long before it tells what a source let in counts that
-	// was cut off: its share was held back for it, or there was room for all, and
-	// the whole would be a debt that nobody made.
-	backlogKept = 2 * time.Second
-	// silentKept is how long that share is kept from the others.
-	silentKept = 15 * time.Second
-	// firstTokens is the part of a second's rate, or of the burst if that is
-	// less, that an account has where nothing is known of it: what it used up
-	// before all nodes were started anew counts in the same window.
-	firstTokens = 0.25
-	// depthTime and depthLeast are added to an account's burst, as a time of its
-	// rate and as a number: requests that come in at many nodes are seen
-	// together only some tenths of a second later, and chance brings a few more
-	// at once than a small account's rate.
-	depthTime  = 100 * time.Millisecond
-	depthLeast = 4
+	// A source that has not reported for its silence timeout counts as
+	// disconnected and is assumed to continue with its share. The timeout is
+	// shorter for an account near its limit, and for data centres, which report
+	// more often.
+	nodeSilenceTimeout      = 2 * time.Second
+	nearLimitSilenceTimeout = 1200 * time.Millisecond
+	dcSilenceTimeout        = 700 * time.Millisecond
+	// maxBacklog bounds the usage counted when a disconnected source reports
+	// again, as a time before the report. Its share was reserved meanwhile, or
+	// tokens were plentiful, so that counting all of it would deduct too much.
+	maxBacklog = 2 * time.Second
+	// reservationTTL is how long the share of a disconnected source is
+	// reserved.
+	reservationTTL = 15 * time.Second
+	// initialFill is the part of one second's rate, or of the burst if that is
+	// less, in a new bucket. It is low because usage before a restart of all
+	// nodes still counts in the same window.
+	initialFill = 0.25
+	// capacityMarginTime (of an account's rate) and capacityMarginTokens are
+	// added to its burst. They cover the reporting delay between nodes and, for
+	// small accounts, random variation of arrivals.
+	capacityMarginTime   = 100 * time.Millisecond
+	capacityMarginTokens = 4
 )
 
 type (
-	// Tally adds up the usage of all accounts, as a data centre's collector
-	// hears of it, and says what is left to each source. One token bucket an
-	// account stands for all nodes. It is safe for concurrent use.
+	// Tally aggregates the usage of all accounts on a data centre's collector
+	// and computes each source's standings. It keeps one token bucket per
+	// account for the whole deployment. It is safe for concurrent use.
 	Tally struct {
-		mu       sync.Mutex
-		accounts map[Name]*count
-		heard    map[Source]time.Time // when each source last told
+		mu         sync.Mutex
+		buckets    map[Name]*clusterBucket
+		lastReport map[Source]time.Time // by source
 	}
 
-	// count is one account's bucket and who asks for it.
-	count struct {
-		tokens  float64
-		at      time.Time
-		sources map[Source]*demand
-		silent  map[Source]float64 // part of the demand of each source that is cut off
-		// charged is what nodes of this data centre that are cut off may have
-		// let in, and the other data centres were not told yet.
-		charged float64
+	// clusterBucket is the deployment-wide token bucket of one account.
+	clusterBucket struct {
+		tokens     float64
+		refilledAt time.Time
+		sources    map[Source]*demand
+		reserved   map[Source]float64 // share of the demand of each disconnected source
+		// unforwarded is the usage assumed for disconnected nodes of this data
+		// centre that has not been forwarded to the others.
+		unforwarded float64
 	}
 )
 
-// NewTally returns a Tally that knows of no usage.
-func NewTally() *Tally { return &Tally{accounts: map[Name]*count{}, heard: map[Source]time.Time{}} }
+// NewTally returns an empty Tally.
+func NewTally() *Tally {
+	return &Tally{buckets: map[Name]*clusterBucket{}, lastReport: map[Source]time.Time{}}
+}
 
-// Add takes a report in and returns how the accounts that it names stand.
+// Add processes a report and returns the standings of the accounts in it.
 func (t *Tally) Add(b *Book, r Report) []Standing {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
 	switch {
 	case r.Standby:
-		t.take(b, r.Usage, now)
+		t.deduct(b, r.Usage, now)
 		return nil
 	case r.Moved:
-		t.forget(r.From)
+		t.removeSource(r.From)
 		return nil
 	}
-	since, told := now.Sub(t.heard[r.From]), map[Name]bool{}
-	t.heard[r.From] = now
+	interval, named := now.Sub(t.lastReport[r.From]), map[Name]bool{}
+	t.lastReport[r.From] = now
 	out := make([]Standing, 0, len(r.Usage))
 	for _, u := range r.Usage {
 		a := b.Find(u.Account)
 		if a == nil || a.Rate <= 0 {
 			continue
 		}
-		told[u.Account] = true
-		c := t.count(a, now)
-		c.tokens -= u.tokens(since)
-		d := c.source(r.From)
-		d.gathered = r.Gathered
-		d.ask(float64(u.Asked), since, now, c.pressed(a))
+		named[u.Account] = true
+		c := t.bucket(a, now)
+		c.tokens -= u.tokens(interval)
+		d := c.demandOf(r.From)
+		d.aggregated = r.Gathered
+		d.observe(float64(u.Asked), interval, now, c.nearLimit(a))
 		out = append(out, c.standing(a, r.From))
 	}
-	t.quiet(r.From, told, since, now)
+	t.recordIdle(r.From, named, interval, now)
 	return out
 }
 
-// tokens returns how many count of what a source let in since it told before.
-func (u *Usage) tokens(since time.Duration) float64 {
-	if since <= backlogKept {
+// tokens returns how many tokens to deduct for usage over an interval.
+func (u *Usage) tokens(interval time.Duration) float64 {
+	if interval <= maxBacklog {
 		return float64(u.Admitted)
 	}
-	return float64(u.Admitted) * backlogKept.Seconds() / since.Seconds()
+	return float64(u.Admitted) * maxBacklog.Seconds() / interval.Seconds()
 }
 
-// take takes off what was let in.
-func (t *Tally) take(b *Book, us []Usage, now time.Time) {
+// deduct deducts admitted requests without recording demand.
+func (t *Tally) deduct(b *Book, us []Usage, now time.Time) {
 	for _, u := range us {
 		if a := b.Find(u.Account); a != nil && a.Rate > 0 {
-			t.count(a, now).tokens -= float64(u.Admitted)
+			t.bucket(a, now).tokens -= float64(u.Admitted)
 		}
 	}
 }
 
-// forget drops a source that tells another collector: silent here it would be
-// taken for one that is cut off, and its share held back.
-func (t *Tally) forget(from Source) {
-	delete(t.heard, from)
-	for _, c := range t.accounts {
+// removeSource removes a source that reports to another collector, so that its
+// silence here is not taken for a partition.
+func (t *Tally) removeSource(from Source) {
+	delete(t.lastReport, from)
+	for _, c := range t.buckets {
 		delete(c.sources, from)
-		delete(c.silent, from)
+		delete(c.reserved, from)
 	}
 }
 
-// Charged returns what other data centres are to know besides what nodes told:
-// what those that are cut off may have let in.
+// Charged returns and clears the usage assumed for disconnected nodes of this
+// data centre, for forwarding to the others.
 func (t *Tally) Charged(b *Book) []Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var us []Usage
 	now := time.Now()
-	maps.DeleteFunc(t.heard, func(_ Source, at time.Time) bool { return now.Sub(at) > silentKept })
-	for name, c := range t.accounts {
+	maps.DeleteFunc(t.lastReport, func(_ Source, at time.Time) bool { return now.Sub(at) > reservationTTL })
+	for name, c := range t.buckets {
 		a := b.Find(name)
 		if a == nil {
-			delete(t.accounts, name)
+			delete(t.buckets, name)
 			continue
 		}
 		c.refill(a, now)
-		if n := int32(c.charged); n > 0 {
-			c.charged -= float64(n)
+		if n := int32(c.unforwarded); n > 0 {
+			c.unforwarded -= float64(n)
 			us = append(us, Usage{Account: name, Admitted: n})
 		}
 	}
 	return us
 }
 
-// quiet notes that a source is asked for nothing more on the accounts that it
-// does not name.
-func (t *Tally) quiet(from Source, told map[Name]bool, since time.Duration, now time.Time) {
-	for name, c := range t.accounts {
-		if d := c.sources[from]; d != nil && !told[name] {
-			d.ask(0, since, now, false)
-			if d.rate < 1/silentKept.Seconds() {
+// recordIdle records zero demand for the accounts that a report does not name.
+func (t *Tally) recordIdle(from Source, named map[Name]bool, interval time.Duration, now time.Time) {
+	for name, c := range t.buckets {
+		if d := c.sources[from]; d != nil && !named[name] {
+			d.observe(0, interval, now, false)
+			if d.rate < 1/reservationTTL.Seconds() {
 				delete(c.sources, from)
-				delete(c.silent, from)
+				delete(c.reserved, from)
 			}
 		}
 	}
 }
 
-func (t *Tally) count(a *Account, now time.Time) *count {
-	c := t.accounts[a.Name]
+func (t *Tally) bucket(a *Account, now time.Time) *clusterBucket {
+	c := t.buckets[a.Name]
 	if c == nil {
-		c = &count{tokens: min(a.Rate, a.Burst) * firstTokens, at: now, sources: map[Source]*demand{}, silent: map[Source]float64{}}
-		t.accounts[a.Name] = c
+		c = &clusterBucket{tokens: min(a.Rate, a.Burst) * initialFill, refilledAt: now, sources: map[Source]*demand{}, reserved: map[Source]float64{}}
+		t.buckets[a.Name] = c
 	}
 	c.refill(a, now)
 	return c
 }
 
-// refill adds what the rate allows, less the part of sources that are cut off.
-func (c *count) refill(a *Account, now time.Time) {
-	dt := now.Sub(c.at).Seconds()
-	c.at = now
-	own, far := c.silentParts(a, now)
-	c.charged += a.Rate * own * dt
-	here := max(1-own-far, 0)
-	c.tokens = min(c.tokens+a.Rate*here*dt, depth(a)*here)
+// refill adds tokens for the elapsed time, less the shares of disconnected
+// sources.
+func (c *clusterBucket) refill(a *Account, now time.Time) {
+	dt := now.Sub(c.refilledAt).Seconds()
+	c.refilledAt = now
+	localShare, remoteShare := c.disconnectedShares(a, now)
+	c.unforwarded += a.Rate * localShare * dt
+	available := max(1-localShare-remoteShare, 0)
+	c.tokens = min(c.tokens+a.Rate*available*dt, bucketCapacity(a)*available)
 }
 
-// depth is how many tokens a bucket holds at most.
-func depth(a *Account) float64 { return a.Burst + a.Rate*depthTime.Seconds() + depthLeast }
+// bucketCapacity returns the token capacity of the account's bucket.
+func bucketCapacity(a *Account) float64 {
+	return a.Burst + a.Rate*capacityMarginTime.Seconds() + capacityMarginTokens
+}
 
-func (c *count) source(s Source) *demand {
+func (c *clusterBucket) demandOf(s Source) *demand {
 	d := c.sources[s]
 	if d == nil {
 		d = &demand{}
@@ -185,75 +190,78 @@
 	return d
 }
 
-// pressed reports whether so many tokens are gone that each source has its share.
-func (c *count) pressed(a *Account) bool { return c.tokens < depth(a)/2 }
+// nearLimit reports whether less than half of the capacity is left, from which
+// point each source is limited to its share.
+func (c *clusterBucket) nearLimit(a *Account) bool { return c.tokens < bucketCapacity(a)/2 }
 
-// silentParts are the parts of what is asked that nodes of this data centre are,
-// and others, which are cut off. It is what they were asked for until they were,
-// and goes back to the rest when they are heard of again, or not for long.
-func (c *count) silentParts(a *Account, now time.Time) (own, far float64) {
-	var all float64
+// disconnectedShares returns the shares of the demand reserved for disconnected
+// nodes of this data centre and for disconnected data centres. A reservation is
+// computed from the demand before the partition, and ends when the source
+// reports again or after reservationTTL.
+func (c *clusterBucket) disconnectedShares(a *Account, now time.Time) (localShare, remoteShare float64) {
+	var total float64
 	for _, d := range c.sources {
-		all += d.before
+		total += d.pastBaseline
 	}
 	for s, d := range c.sources {
-		gone := now.Sub(d.at)
-		part, known := c.silent[s]
+		silence := now.Sub(d.reportedAt)
+		share, isReserved := c.reserved[s]
 		switch {
-		case gone > silentKept:
+		case silence > reservationTTL:
 			delete(c.sources, s)
-			delete(c.silent, s)
+			delete(c.reserved, s)
 			continue
-		case gone <= c.patience(a, d):
-			delete(c.silent, s)
+		case silence <= c.silenceTimeout(a, d):
+			delete(c.reserved, s)
 			continue
-		case !known && all > 0:
-			part = d.before / all
-			c.silent[s] = part
-			c.withhold(a, d, part*(depth(a)+a.Rate*gone.Seconds()))
+		case !isReserved && total > 0:
+			share = d.pastBaseline / total
+			c.reserved[s] = share
+			c.reserveTokens(a, d, share*(bucketCapacity(a)+a.Rate*silence.Seconds()))
 		}
-		if d.gathered {
-			far += part
+		if d.aggregated {
+			remoteShare += share
 		} else {
-			own += part
+			localShare += share
 		}
 	}
-	return own, far
+	return localShare, remoteShare
 }
 
-// withhold takes off what a source may have taken since it was last heard of,
-// its part of all tokens.
-func (c *count) withhold(a *Account, d *demand, tokens float64) {
+// reserveTokens deducts what a source may have admitted since its last report.
+func (c *clusterBucket) reserveTokens(a *Account, d *demand, tokens float64) {
 	c.tokens -= tokens
-	if !d.gathered {
-		c.charged += tokens
+	if !d.aggregated {
+		c.unforwarded += tokens
 	}
 }
 
-// patience is after how long without a word a source counts as cut off.
-func (c *count) patience(a *Account, d *demand) time.Duration {
+// silenceTimeout returns after how long without a report a source counts as
+// disconnected.
+func (c *clusterBucket) silenceTimeout(a *Account, d *demand) time.Duration {
 	switch {
-	case d.gathered:
-		return gatheredSilent
-	case c.pressed(a):
-		return pressedSilent
+	case d.aggregated:
+		return dcSilenceTimeout
+	case c.nearLimit(a):
+		return nearLimitSilenceTimeout
 	}
-	return silentAfter
+	return nodeSilenceTimeout
 }
 
-// standing is how an account stands for a source. While the bucket is half full
-// all may take from it; then each its share of the tokens by what it is asked
-// for, or an even one: few requests of a small account come to many nodes.
-func (c *count) standing(a *Account, from Source) Standing {
-	var now, usual float64
+// standing returns the account's standing for a source. While at least half of
+// the capacity is left, every source may use all of it. Below that, each gets
+// the tokens in proportion to its demand, but no less than an even share, since
+// each node sees few requests of a small account.
+func (c *clusterBucket) standing(a *Account, from Source) Standing {
+	var currentTotal, baselineTotal float64
 	for _, d := range c.sources {
-		now += d.rate
-		usual += d.before
+		currentTotal += d.rate
+		baselineTotal += d.pastBaseline
 	}
-	d, even := c.sources[from], 1/float64(len(c.sources))
-	s := Standing{Account: a.Name, Tokens: float32(c.tokens), Share: float32(part(d.before, usual)), Free: !c.pressed(a)}
+	d, evenShare := c.sources[from], 1/float64(len(c.sources))
+	s := Standing{Account: a.Name, Tokens: float32(c.tokens), Share: float32(ratio(d.pastBaseline, baselineTotal)), Free: !c.nearLimit(a)}
 	if !s.Free {
-		s.Tokens *= float32(max(part(d.rate, now), even))
+		s.Tokens *= float32(max(ratio(d.rate, currentTotal), evenShare))
 	}
 	return s
 }
--- a/account/usage.go
+++ b/account/usage.go
@@ -6,43 +6,44 @@
 )
 
 type (
-	// Source names who tells of usage: a node, or a data centre's collector for
-	// all of its nodes.
+	// Source identifies the sender of a report: a node, or a data centre whose
+	// collector reports for all of its nodes.
 	Source string
 
-	// Usage is what a source was asked for on one account, and let in, since it
-	// told before.
+	// Usage is the number of requests for one account that a source received
+	// and admitted since its previous report.
 	Usage struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Account  Name
 		Asked    int32
-		Admitted int32 // less what was given back
+		Admitted int32 // less returned tokens
 	}
 
-	// Report is what a source tells. An empty one says that it is there and
-	// has nothing more to tell.
+	// Report is the usage that a source sends to a collector. It is sent
+	// without usage as a heartbeat.
 	Report struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		From     Source
-		// Gathered says that it is of a whole data centre, and is not to be
-		// told on.
+		// Gathered means that the usage is of a whole data centre and must not
+		// be forwarded.
 		Gathered bool
 		Usage    []Usage
-		// Standby says that it is for a node that may take the place of the one
-		// that tells: what was let in counts, and who asked does not.
+		// Standby means that the receiver is the sender's standby. Admitted
+		// requests count, demand does not.
 		Standby bool
-		// Moved says that the node tells another collector from now on.
+		// Moved means that the sender reports to another collector from now on.
 		Moved bool
 	}
 
-	// Standing is how an account stands over all nodes, for one source.
+	// Standing is the state of an account over all nodes, as sent to one
+	// source.
 	Standing struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Account  Name
-		Tokens   float32 // that the source may take; below 0 where all took too many
-		Share    float32 // of the rate that is the source's, by what it is usually asked for
-		// Free says that there are so many left that nothing is held back: the
-		// source may take them at the whole rate.
+		Tokens   float32 // available to the source; negative after overuse
+		Share    float32 // fraction of the rate for the source, from its baseline demand
+		// Free means that enough tokens are left for the source to use the
+		// account's full rate.
 		Free bool
 	}
 
--- a/account/usage_test.go
+++ b/account/usage_test.go
@@ -6,8 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// FuzzReport: whatever another node tells, it is not read or is counted, and its
-// answer can be read.
+// FuzzReport checks that any report from another node is either rejected or
+// counted, with an answer that can be decoded.
 func FuzzReport(f *testing.F) {
 	b, err := msgpack.Marshal(Report{From: "dc1", Gathered: true, Usage: []Usage{{Account: "a", Asked: 3, Admitted: 2}, {Account: "b", Admitted: -1}}})
 	if err != nil {
@@ -35,7 +35,7 @@
 	})
 }
 
-// BenchmarkTake is the decision on one request, of one account in a thousand.
+// BenchmarkTake measures the decision on one request with a thousand accounts.
 func BenchmarkTake(b *testing.B) {
 	l := NewLimiter()
 	all := make([]Account, 1000)
