--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -7,16 +7,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What each request costs at each of the two nodes on its way: its
-// fingerprint, the question how it may run, and the note that it was answered.
+// BenchmarkRequest measures the cost per request at each node on its path:
+// fingerprint, stage lookup and recording the answer.
 func BenchmarkRequest(b *testing.B) {
 	r := request("POST", "/leny950/2fa6c1", string(make([]byte, 256)))
 	for _, c := range []struct {
 		name    string
 		records int
-	}{{"empty", 0}, {"full", mostRecords - 1}} {
+	}{{"empty", 0}, {"full", maxRecords - 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			book := filled(c.records)
+			book := newFilledBook(c.records)
 			b.ReportAllocs()
 			for b.Loop() {
 				f := FingerprintOf(r)
@@ -29,10 +29,10 @@
 	}
 }
 
-// What the end of an instance with a hundred requests in progress costs its
-// node, in a Book that is full, and the bytes that it tells of it.
+// BenchmarkEnd measures the cost of an instance end with a hundred requests in
+// progress, with a full Book, and the encoded size of its report.
 func BenchmarkEnd(b *testing.B) {
-	book := filled(mostRecords)
+	book := newFilledBook(maxRecords)
 	fs := make([]Fingerprint, 100)
 	next := Fingerprint(1 << 40)
 	size := 0
@@ -41,35 +41,35 @@
 		for i := range fs {
 			next++
 			fs[i] = next
-			book.Ended(next, end(EndID(next), "lego45a"))
+			book.Ended(next, newEnd(EndID(next), "lego45a"))
 		}
-		told, err := msgpack.Marshal(book.Of(fs))
+		encoded, err := msgpack.Marshal(book.Of(fs))
 		if err != nil {
 			b.Fatal(err)
 		}
-		size = len(told)
+		size = len(encoded)
 	}
 	b.ReportMetric(float64(size)/float64(len(fs)), "B/request")
 }
 
-// The memory of a full Book.
+// BenchmarkMemory measures the memory of a full Book.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		book := filled(mostRecords)
+		book := newFilledBook(maxRecords)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		runtime.KeepAlive(book)
 	}
-	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/mostRecords, "B/record")
+	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/maxRecords, "B/record")
 }
 
-func filled(records int) *Book {
+func newFilledBook(records int) *Book {
 	b := newTestBook()
 	for i := range records {
-		b.Ended(Fingerprint(i)<<20, end(EndID(i/100+1), "lego45a"))
+		b.Ended(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
 	}
 	return b
 }
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -12,59 +12,63 @@
 )
 
 const (
-	// mostRecords bounds the requests that are kept: the ends of forty
-	// instances with a hundred requests in progress each, half a megabyte.
-	mostRecords = 4096
-	// dropOneOf is the part of them that is forgotten when there are more.
-	dropOneOf = 4
-	// sweepEvery is how often records past their time are looked for.
-	sweepEvery = time.Second
+	// maxRecords bounds the number of requests in a Book: those of forty ended
+	// instances with a hundred requests in progress each, about half a
+	// megabyte.
+	maxRecords = 4096
+	// When a Book is full, 1/evictDivisor of its records are evicted.
+	evictDivisor = 4
+	// sweepInterval is the minimum interval between removals of expired
+	// records.
+	sweepInterval = time.Second
 )
 
 type (
-	// Config is what a Book is built from.
+	// Config is the configuration of a Book.
 	Config struct {
-		// Off lets all requests run; the ends are counted and told all the
-		// same.
+		// Off lets all requests run. Instance ends are still recorded and
+		// reported.
 		Off bool
 		Log log.Interface
 	}
 
-	// Book is what one node knows of the requests under which instances ended.
-	// It is safe for concurrent use.
+	// Book is one node's record of the requests that instances ran when they
+	// ended. It is safe for concurrent use.
 	Book struct {
 		cfg   Config
-		epoch uint64 // of this process
+		epoch uint64 // identifies this process; random
 
-		mu      sync.Mutex
-		records map[Fingerprint]*entry
-		under   map[EndID][]Fingerprint // the requests that ran when an instance ended
-		seq     uint64                  // of the latest change
-		moved   chan struct{}           // closed at the next change
-		urgent  chan struct{}           // closed when the next request is isolated or quarantined
-		swept   time.Time
+		mu        sync.Mutex
+		records   map[Fingerprint]*entry
+		byEnd     map[EndID][]Fingerprint // requests that ran when an instance ended
+		seq       uint64                  // of the latest change
+		changed   chan struct{}           // closed at the next change
+		escalated chan struct{}           // closed when the next request becomes isolated or quarantined
+		sweptAt   time.Time
 	}
 
-	// News tells of changes of a Book beyond a Cursor.
+	// News notifies of changes to a Book after a Cursor.
 	News struct {
-		Any    <-chan struct{} // closed once there is one
-		Urgent <-chan struct{} // closed once a request is isolated or quarantined
+		Any    <-chan struct{} // closed once there is a change
+		Urgent <-chan struct{} // closed once a request becomes isolated or quarantined
 	}
 
 	entry struct {
 		Record
-		last time.Time // when the last end was; Age is worked out from it
-		seq  uint64    // of the entry's latest change
+		lastEnd time.Time // time of the last instance end; Age is derived from it
+		seq     uint64    // sequence number of the entry's latest change
 	}
 
-	// Cursor says how much of a Book another node has been told.
+	// Cursor is the position in a Book's changes up to which another node knows
+	// them.
 	Cursor struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Epoch    uint64
 		Seq      uint64
 	}
 
-	// Report is what a Book holds beyond a Cursor, and the Cursor to go on from.
+	// Report contains the records that changed after a Cursor and the next
+	// Cursor.
 	Report struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Next     Cursor
@@ -74,10 +78,10 @@
 
 // NewBook returns an empty Book.
 func NewBook(cfg Config) *Book {
-	return &Book{cfg: cfg, epoch: rand.Uint64(), records: map[Fingerprint]*entry{}, under: map[EndID][]Fingerprint{}, moved: make(chan struct{}), urgent: make(chan struct{})}
+	return &Book{cfg: cfg, epoch: rand.Uint64(), records: map[Fingerprint]*entry{}, byEnd: map[EndID][]Fingerprint{}, changed: make(chan struct{}), escalated: make(chan struct{})}
 }
 
-// Stage says how a request of a caller may run.
+// Stage returns how a caller's request may run.
 func (b *Book) Stage(f Fingerprint, c Caller) Stage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,44 +89,44 @@
 	if e == nil || b.cfg.Off {
 		return Free
 	}
-	e.Age = time.Since(e.last)
+	e.Age = time.Since(e.lastEnd)
 	return e.stage(c, b)
 }
 
-// proves implements evidence. Another request that nobody knew may have begun
-// beside it; when that has ended an instance alone elsewhere, the end here was
-// its doing.
-func (b *Book) proves(r *Record, end End) bool {
-	for _, f := range b.under[end.ID] {
-		if o := b.records[f]; f != r.Of && o != nil && o.provedWithout(r) {
+// conclusive implements evidence. An unknown request may have run beside the
+// isolated one. If it has since ended another instance while isolated, this end
+// is attributed to it.
+func (b *Book) conclusive(r *Record, end End) bool {
+	for _, f := range b.byEnd[end.ID] {
+		if o := b.records[f]; f != r.Of && o != nil && o.endedIsolatedWithout(r) {
 			return false
 		}
 	}
 	return true
 }
 
-// othersEnd implements evidence.
-func (b *Book) othersEnd(r *Record) bool {
+// hasUnrelatedEnds implements evidence.
+func (b *Book) hasUnrelatedEnds(r *Record) bool {
 	n := 0
-	for id, fs := range b.under {
-		if r.has(id) || b.explained(fs) {
+	for id, fs := range b.byEnd {
+		if r.hasEnd(id) || b.attributed(fs) {
 			continue
 		}
-		if n++; n >= endsOfOtherCause {
+		if n++; n >= minUnrelatedEnds {
 			return true
 		}
 	}
 	return false
 }
 
-// explained reports whether one of the requests that ran when an instance ended
-// is known to end them.
-func (b *Book) explained(fs []Fingerprint) bool {
-	return slices.ContainsFunc(fs, func(f Fingerprint) bool { return b.records[f].alone() })
+// attributed reports whether any of the requests has ended an instance while it
+// ran isolated.
+func (b *Book) attributed(fs []Fingerprint) bool {
+	return slices.ContainsFunc(fs, func(f Fingerprint) bool { return b.records[f].endedIsolated() })
 }
 
-// Left returns how long a quarantined request of a caller is to be kept from
-// instances.
+// Left returns the time for which a caller's quarantined request must still not
+// run.
 func (b *Book) Left(f Fingerprint, c Caller) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,20 +134,19 @@
 	if e == nil {
 		return 0
 	}
-	return max(0, e.term(c, b)-time.Since(e.last))
+	return max(0, e.quarantineTerm(c, b)-time.Since(e.lastEnd))
 }
 
-// Ended notes that an instance ended while it ran a request, and reports
-// whether that is news.
+// Ended records that an instance ended while it ran a request, and reports
+// whether the Book changed.
 func (b *Book) Ended(f Fingerprint, end End) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.take(Record{Of: f, Ends: []End{end}})
+	return b.merge(Record{Of: f, Ends: []End{end}})
 }
 
-// Answered notes that a request of a caller has run to an answer: the ends of
-// instances that it was seen at were not its doing. It reports whether that is
-// news.
+// Answered records that a caller's request was answered, which clears it of the
+// ends recorded for that caller. It reports whether the Book changed.
 func (b *Book) Answered(f Fingerprint, c Caller) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,223 +154,221 @@
 	if e == nil {
 		return false
 	}
-	return b.change(e, func() bool { return e.clear(c) })
+	return b.update(e, func() bool { return e.clear(c) })
 }
 
-// Learn takes over what another node's Book holds, and returns the requests of
-// which that was news.
+// Learn merges another node's report and returns the requests whose records
+// changed.
 func (b *Book) Learn(r Report) []Fingerprint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var news []Fingerprint
-	for _, told := range r.Records {
-		if b.take(told) {
-			news = append(news, told.Of)
+	var changed []Fingerprint
+	for _, record := range r.Records {
+		if b.merge(record) {
+			changed = append(changed, record.Of)
 		}
 	}
-	return news
+	return changed
 }
 
-// Since returns what is known here beyond a Cursor, everything for one of
-// another process.
+// Since returns the records that changed after a Cursor, or all records if the
+// Cursor is from another process.
 func (b *Book) Since(at Cursor) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := Report{Next: Cursor{Epoch: b.epoch, Seq: b.seq}}
-	after := b.known(at)
-	if after == b.seq {
+	acked := b.ackedSeq(at)
+	if acked == b.seq {
 		return r
 	}
 	for _, e := range b.records {
-		if e.seq > after {
-			r.Records = append(r.Records, e.told())
+		if e.seq > acked {
+			r.Records = append(r.Records, e.snapshot())
 		}
 	}
 	return r
 }
 
-// Of returns what is known here of some requests.
+// Of returns the records of the given requests.
 func (b *Book) Of(fs []Fingerprint) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := Report{Next: Cursor{Epoch: b.epoch, Seq: b.seq}}
 	for _, f := range fs {
 		if e := b.records[f]; e != nil {
-			r.Records = append(r.Records, e.told())
+			r.Records = append(r.Records, e.snapshot())
 		}
 	}
 	return r
 }
 
-// News returns what tells of changes beyond a Cursor.
+// News returns the notifications of changes after a Cursor.
 func (b *Book) News(at Cursor) News {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	news := News{Any: b.moved, Urgent: b.urgent}
-	if b.known(at) == b.seq {
-		return news
+	watch := News{Any: b.changed, Urgent: b.escalated}
+	if b.ackedSeq(at) == b.seq {
+		return watch
 	}
-	now := make(chan struct{})
-	close(now)
-	news.Any = now
+	closed := make(chan struct{})
+	close(closed)
+	watch.Any = closed
 	for _, e := range b.records {
-		if e.seq > b.known(at) && e.worst(b) >= Isolated {
-			news.Urgent = now
+		if e.seq > b.ackedSeq(at) && e.worstStage(b) >= Isolated {
+			watch.Urgent = closed
 		}
 	}
-	return news
+	return watch
 }
 
-// Count returns how many requests are at a stage, for some caller.
+// Count returns the number of requests at a stage for any caller.
 func (b *Book) Count(s Stage) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := 0
 	for _, e := range b.records {
-		e.Age = time.Since(e.last)
-		if e.worst(b) == s {
+		e.Age = time.Since(e.lastEnd)
+		if e.worstStage(b) == s {
 			n++
 		}
 	}
 	return n
 }
 
-// known returns the change up to which a Cursor knows; 0 for one of another
-// process.
-func (b *Book) known(at Cursor) uint64 {
+// ackedSeq returns the sequence number up to which the Cursor's holder knows
+// the changes, or 0 if the Cursor is from another process.
+func (b *Book) ackedSeq(at Cursor) uint64 {
 	if at.Epoch != b.epoch {
 		return 0
 	}
 	return at.Seq
 }
 
-// told is the entry as another node is told of it.
-func (e *entry) told() Record {
+// snapshot returns a copy of the record with its current age.
+func (e *entry) snapshot() Record {
 	r := e.Record
-	r.Ends, r.Sound, r.Age = slices.Clone(e.Ends), slices.Clone(e.Sound), time.Since(e.last)
+	r.Ends, r.Sound, r.Age = slices.Clone(e.Ends), slices.Clone(e.Sound), time.Since(e.lastEnd)
 	return r
 }
 
-// take adds what is told of a request to what is known. Only news moves the
-// time of the last end: two nodes that tell each other the same would else keep
-// it for good.
-func (b *Book) take(told Record) bool {
-	if told.Age > forgetAfter {
+// merge merges a received record. Only new ends update lastEnd: otherwise two
+// nodes that repeat the same record to each other would keep it forever.
+func (b *Book) merge(remote Record) bool {
+	if remote.Age > recordTTL {
 		return false
 	}
 	b.sweep()
-	e := b.records[told.Of]
+	e := b.records[remote.Of]
 	if e == nil {
-		e = &entry{Record: Record{Of: told.Of}}
-		b.makeRoom()
-		b.records[told.Of] = e
-	}
-	return b.change(e, func() bool {
-		news := false
-		for _, end := range told.Ends {
-			if e.add(end) {
-				news = true
-				e.last = later(e.last, time.Now().Add(-told.Age))
+		e = &entry{Record: Record{Of: remote.Of}}
+		b.evict()
+		b.records[remote.Of] = e
+	}
+	return b.update(e, func() bool {
+		changed := false
+		for _, end := range remote.Ends {
+			if e.addEnd(end) {
+				changed = true
+				e.lastEnd = latest(e.lastEnd, time.Now().Add(-remote.Age))
 			}
 		}
-		for _, c := range told.Sound {
-			news = e.sound(c) || news
+		for _, c := range remote.Sound {
+			changed = e.addAnswered(c) || changed
 		}
-		return news
+		return changed
 	})
 }
 
-// change changes an entry by f, and notes and logs what became of it where f
-// reports news.
-func (b *Book) change(e *entry, f func() bool) bool {
-	was, had := e.worst(b), slices.Clone(e.Ends)
+// update applies f to an entry. If f reports a change, update also updates the
+// index, notifies watchers and logs a change of stage.
+func (b *Book) update(e *entry, f func() bool) bool {
+	oldStage, oldEnds := e.worstStage(b), slices.Clone(e.Ends)
 	if !f() {
 		return false
 	}
-	b.relink(e, had)
+	b.updateIndex(e, oldEnds)
 	b.seq++
 	e.seq = b.seq
-	close(b.moved)
-	b.moved = make(chan struct{})
-	e.Age = time.Since(e.last)
-	now := e.worst(b)
-	if now > was && now >= Isolated {
-		close(b.urgent)
-		b.urgent = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
+	e.Age = time.Since(e.lastEnd)
+	newStage := e.worstStage(b)
+	if newStage > oldStage && newStage >= Isolated {
+		close(b.escalated)
+		b.escalated = make(chan struct{})
 	}
-	if now != was && max(now, was) > Suspect {
-		b.cfg.Log.WithFields(log.Fields{"fingerprint": e.Of.String(), "stage": now.String(), "ends": len(e.Ends)}).Info("request_stage_changed")
+	if newStage != oldStage && max(newStage, oldStage) > Suspect {
+		b.cfg.Log.WithFields(log.Fields{"fingerprint": e.Of.String(), "stage": newStage.String(), "ends": len(e.Ends)}).Info("request_stage_changed")
 	}
 	return true
 }
 
-// sweep forgets requests that have been left alone for long.
+// sweep removes records whose last end is older than recordTTL.
 func (b *Book) sweep() {
 	now := time.Now()
-	if now.Sub(b.swept) < sweepEvery {
+	if now.Sub(b.sweptAt) < sweepInterval {
 		return
 	}
-	b.swept = now
+	b.sweptAt = now
 	for f, e := range b.records {
-		if now.Sub(e.last) > forgetAfter {
-			b.forget(f)
+		if now.Sub(e.lastEnd) > recordTTL {
+			b.remove(f)
 		}
 	}
 }
 
-// makeRoom forgets a part of the requests if there are too many: those of the
-// lowest stage whose last ends are longest ago.
-func (b *Book) makeRoom() {
-	if len(b.records) < mostRecords {
+// evict removes part of the records if the Book is full: those at the lowest
+// stage with the oldest ends.
+func (b *Book) evict() {
+	if len(b.records) < maxRecords {
 		return
 	}
 	all := slices.SortedFunc(maps.Values(b.records), func(x, y *entry) int {
-		return cmp.Or(cmp.Compare(x.worst(b), y.worst(b)), x.last.Compare(y.last))
+		return cmp.Or(cmp.Compare(x.worstStage(b), y.worstStage(b)), x.lastEnd.Compare(y.lastEnd))
 	})
-	for _, e := range all[:mostRecords/dropOneOf] {
-		b.forget(e.Of)
+	for _, e := range all[:maxRecords/evictDivisor] {
+		b.remove(e.Of)
 	}
 }
 
-// relink notes the ends of a record, in place of those that it had.
-func (b *Book) relink(e *entry, had []End) {
-	for _, end := range had {
+// updateIndex replaces oldEnds by the entry's current ends in byEnd.
+func (b *Book) updateIndex(e *entry, oldEnds []End) {
+	for _, end := range oldEnds {
 		if !slices.ContainsFunc(e.Ends, func(o End) bool { return o.ID == end.ID }) {
-			b.unlink(end.ID, e.Of)
+			b.removeFromIndex(end.ID, e.Of)
 		}
 	}
 	for _, end := range e.Ends {
-		if !slices.Contains(b.under[end.ID], e.Of) {
-			b.under[end.ID] = append(b.under[end.ID], e.Of)
+		if !slices.Contains(b.byEnd[end.ID], e.Of) {
+			b.byEnd[end.ID] = append(b.byEnd[end.ID], e.Of)
 		}
 	}
 }
 
-func (b *Book) unlink(id EndID, f Fingerprint) {
-	left := slices.DeleteFunc(b.under[id], func(o Fingerprint) bool { return o == f })
-	if len(left) == 0 {
-		delete(b.under, id)
+func (b *Book) removeFromIndex(id EndID, f Fingerprint) {
+	remaining := slices.DeleteFunc(b.byEnd[id], func(o Fingerprint) bool { return o == f })
+	if len(remaining) == 0 {
+		delete(b.byEnd, id)
 		return
 	}
-	b.under[id] = left
+	b.byEnd[id] = remaining
 }
 
-// forget drops a record.
-func (b *Book) forget(f Fingerprint) {
+func (b *Book) remove(f Fingerprint) {
 	for _, e := range b.records[f].Ends {
-		b.unlink(e.ID, f)
+		b.removeFromIndex(e.ID, f)
 	}
 	delete(b.records, f)
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// String names a Stage as log lines have it.
+// String returns the name of the stage as used in logs.
 func (s Stage) String() string {
 	switch s {
 	case Suspect:
--- /dev/null
+++ b/quarantine/compat_test.go
@@ -0,0 +1,51 @@
+package quarantine
+
+import (
+	"testing"
+	"time"
+
+	"github.com/oatpin/oatpin/message/messagetest"
+	. "github.com/smartystreets/goconvey/convey"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// wantReport has every field set. testdata/former/report.hex is its encoding by
+// the previous version.
+var wantReport = Report{Next: Cursor{Epoch: 1 << 60, Seq: 300}, Records: []Record{
+	{Of: 7, Ends: []End{{ID: 1, Caller: "a", Alone: true}, {ID: 1 << 40, Caller: "b", Cleared: true}}, Sound: []Caller{"b"}, Age: time.Second},
+	{Of: 1 << 50},
+}}
+
+// Nodes of the previous and of this version exchange reports during an upgrade.
+func TestReportCompatibleWithPreviousVersion(t *testing.T) {
+	Convey("The previous version's report decodes completely, and ours encodes to the same bytes", t, func() {
+		var got Report
+		So(msgpack.Unmarshal(messagetest.Former(t, "report"), &got), ShouldBeNil)
+		So(got, ShouldResemble, wantReport)
+		ours, err := msgpack.Marshal(wantReport)
+		So(err, ShouldBeNil)
+		So(ours, ShouldResemble, messagetest.Former(t, "report"))
+	})
+}
+
+// FuzzReport checks that a Book merges any report within its bounds or rejects
+// it.
+func FuzzReport(f *testing.F) {
+	f.Add(messagetest.Former(f, "report"))
+	f.Fuzz(func(t *testing.T, b []byte) {
+		var got Report
+		if msgpack.Unmarshal(b, &got) != nil {
+			return
+		}
+		book := newTestBook()
+		for _, of := range book.Learn(got) {
+			book.Stage(of, "a")
+			if n := len(book.records[of].Ends); n > maxEnds {
+				t.Fatalf("record holds %d ends, more than maxEnds", n)
+			}
+		}
+		if len(book.records) > maxRecords {
+			t.Fatalf("book holds %d records, more than maxRecords", len(book.records))
+		}
+	})
+}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests that end instances from the rest of them.
-// Callers send such a request again, at any node and with a new id, and each
-// instance that begins to run it ends. A Book counts, by what a request asks
-// for, the instances that ended under it; nodes tell each other what theirs
-// say.
+// Package quarantine protects a service's instances from requests that end
+// (crash) every instance that runs them. Callers retry such a request through
+// any node and with a new ID, so requests are identified by a fingerprint of
+// their content. A Book counts the instances that ended while they ran a
+// request. Nodes exchange what their Books contain.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -7,12 +7,11 @@
 	"github.com/oatpin/oatpin/call"
 )
 
-// Fingerprint is a hash of what a request asks for: its method, host, path and
-// query, and body. Each try of a caller has an id of its own, and headers of
-// its own; the Fingerprint is what they have in common.
+// Fingerprint is a hash of a request's content: its method, host, URI and body.
+// It is the same for all retries, whose IDs and headers differ.
 type Fingerprint uint64
 
-// FingerprintOf returns the Fingerprint of a request by route.
+// FingerprintOf returns the Fingerprint of a routed request.
 func FingerprintOf(r *call.Request) Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{r.HTTP.Method, r.HTTP.Host, r.HTTP.URI} {
@@ -23,5 +22,5 @@
 	return Fingerprint(d.Sum64())
 }
 
-// String writes a Fingerprint as log lines have it.
+// String returns the Fingerprint in hexadecimal, as used in logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -11,8 +11,8 @@
 	return &call.Request{Body: []byte(body), HTTP: &call.HTTPRequest{Method: method, Host: "h", URI: uri}}
 }
 
-func TestAFingerprintIsWhatARequestAsksFor(t *testing.T) {
-	Convey("Ids, time left and senders make no difference; what is asked for does", t, func() {
+func TestFingerprintDependsOnContentOnly(t *testing.T) {
+	Convey("IDs, callers and headers make no difference; method, URI and body do", t, func() {
 		a, b := request("POST", "/a/b?x=1", "n"), request("POST", "/a/b?x=1", "n")
 		a.ID, b.ID = "1", "2"
 		a.HTTP.Caller, b.HTTP.Caller = "archiv", "versand"
--- a/quarantine/lane.go
+++ b/quarantine/lane.go
@@ -8,18 +8,20 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// Lane keeps isolated requests at one instance from each other and from other
-// suspects, in the order in which they come.
+// Lane is a lock that keeps an isolated request at one instance from running
+// beside other suspect or isolated requests. Waiters are served in order of
+// arrival. It is safe for concurrent use.
 type Lane struct {
 	sem *semaphore.Weighted
 }
 
-// NewLane returns a Lane that is empty.
+// NewLane returns an unlocked Lane.
 func NewLane() *Lane { return &Lane{sem: semaphore.NewWeighted(math.MaxInt64)} }
 
-// Enter waits until a request of a stage may run, for some time or until ctx
-// ends, and reports whether it may; leave must be called then when it has run.
-func (l *Lane) Enter(ctx context.Context, s Stage, wait time.Duration) (leave func(), ok bool) {
+// Enter waits until a request at stage s may run, and reports whether it may.
+// It gives up after timeout or when ctx is done. If ok, the caller must call
+// release when the request has finished.
+func (l *Lane) Enter(ctx context.Context, s Stage, timeout time.Duration) (release func(), ok bool) {
 	if s == Free {
 		return func() {}, true
 	}
@@ -27,7 +29,7 @@
 	if s == Isolated {
 		n = math.MaxInt64
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if l.sem.Acquire(ctx, n) != nil {
 		return nil, false
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -10,62 +10,60 @@
 )
 
 type (
-	// known is the oracle's idea of one node: everything it was ever told.
-	known map[Fingerprint]*facts
+	// knowledge is the oracle's model of one node: everything it has been told.
+	knowledge map[Fingerprint]*requestFacts
 
-	facts struct {
-		ends  map[EndID]End
-		last  time.Time // when the last of them was
-		sound map[Caller]bool
+	requestFacts struct {
+		ends     map[EndID]End
+		lastEnd  time.Time
+		answered map[Caller]bool
 	}
 
-	// fleet is some nodes' Books beside what each should know.
+	// fleet holds the Books of several nodes and the oracle's model of each.
 	fleet struct {
 		books   []*Book
-		told    [][]Cursor // by asker and asked
-		oracles []known
-		ids     EndID
+		cursors [][]Cursor // by requesting and answering node
+		oracles []knowledge
+		lastID  EndID
 	}
 )
 
-// bubbleTB is a test without the deadline, which synctest does not allow to be
-// asked for.
-type bubbleTB struct{ *testing.T }
+// synctestTB hides T.Deadline, which must not be called within synctest.
+type synctestTB struct{ *testing.T }
 
-// Deadline reports none.
-func (bubbleTB) Deadline() (time.Time, bool) { return time.Time{}, false }
+func (synctestTB) Deadline() (time.Time, bool) { return time.Time{}, false }
 
-func (k known) of(f Fingerprint) *facts {
+func (k knowledge) factsFor(f Fingerprint) *requestFacts {
 	if k[f] == nil {
-		k[f] = &facts{ends: map[EndID]End{}, sound: map[Caller]bool{}}
+		k[f] = &requestFacts{ends: map[EndID]End{}, answered: map[Caller]bool{}}
 	}
 	return k[f]
 }
 
-func (k known) learn(other known) {
+func (k knowledge) merge(other knowledge) {
 	for f, x := range other {
-		own := k.of(f)
+		own := k.factsFor(f)
 		for id, e := range x.ends {
 			had := own.ends[id]
 			e.Alone, e.Cleared = e.Alone || had.Alone, e.Cleared || had.Cleared
 			own.ends[id] = e
 		}
-		if x.last.After(own.last) {
-			own.last = x.last
+		if x.lastEnd.After(own.lastEnd) {
+			own.lastEnd = x.lastEnd
 		}
-		maps.Copy(own.sound, x.sound)
+		maps.Copy(own.answered, x.answered)
 	}
 }
 
-// explained reports whether another request that ran at an end has ended an
-// instance where this one was not.
-func (k known) explained(f Fingerprint, id EndID) bool {
-	for o, x := range k {
-		if _, ok := x.ends[id]; !ok || o == f {
+// attributed reports whether another request that ran at the end has also ended
+// an instance without this one.
+func (k knowledge) attributed(f Fingerprint, id EndID) bool {
+	for otherRequest, otherFacts := range k {
+		if _, ok := otherFacts.ends[id]; !ok || otherRequest == f {
 			continue
 		}
-		for other, e := range x.ends {
-			if own, ok := k.of(f).ends[other]; e.Alone && !e.Cleared && (!ok || own.Cleared) {
+		for otherID, e := range otherFacts.ends {
+			if own, ok := k.factsFor(f).ends[otherID]; e.Alone && !e.Cleared && (!ok || own.Cleared) {
 				return true
 			}
 		}
@@ -73,27 +71,27 @@
 	return false
 }
 
-// othersEnd reports whether three instances or more ended where this request
-// was not, nor another that ended one alone.
-func (k known) othersEnd(f Fingerprint) bool {
-	without := map[EndID]bool{}
+// hasUnrelatedEnds reports whether three or more instances ended without this
+// request and without one that ended an instance while isolated.
+func (k knowledge) hasUnrelatedEnds(f Fingerprint) bool {
+	unrelated := map[EndID]bool{}
 	for _, x := range k {
 		for id := range x.ends {
-			own, ok := k.of(f).ends[id]
-			without[id] = !ok || own.Cleared
+			own, ok := k.factsFor(f).ends[id]
+			unrelated[id] = !ok || own.Cleared
 		}
 	}
 	for _, x := range k {
-		ends := false
+		fatal := false
 		for _, e := range x.ends {
-			ends = ends || (e.Alone && !e.Cleared)
+			fatal = fatal || (e.Alone && !e.Cleared)
 		}
 		for id := range x.ends {
-			without[id] = without[id] && !ends
+			unrelated[id] = unrelated[id] && !fatal
 		}
 	}
 	n := 0
-	for _, w := range without {
+	for _, w := range unrelated {
 		if w {
 			n++
 		}
@@ -101,22 +99,22 @@
 	return n >= 3
 }
 
-// stage is the rule in other words: counted by hand from what is known.
-func (k known) stage(f Fingerprint, c Caller) Stage {
-	x := k.of(f)
-	n, own, proofs := 0, 0, 0
+// stage is an independent implementation of the rule in Record.stage.
+func (k knowledge) stage(f Fingerprint, c Caller) Stage {
+	x := k.factsFor(f)
+	n, ownEnds, conclusiveEnds := 0, 0, 0
 	callers := map[Caller]bool{}
 	for _, e := range x.ends {
-		if e.Cleared || (x.sound[c] && e.Caller != c) {
+		if e.Cleared || (x.answered[c] && e.Caller != c) {
 			continue
 		}
 		n++
 		callers[e.Caller] = true
 		if e.Caller == c {
-			own++
+			ownEnds++
 		}
-		if e.Alone && !k.explained(f, e.ID) {
-			proofs++
+		if e.Alone && !k.attributed(f, e.ID) {
+			conclusiveEnds++
 		}
 	}
 	switch {
@@ -124,53 +122,52 @@
 		return Free
 	case n == 1:
 		return Suspect
-	case n < 3 || proofs == 0 || (proofs == 1 && k.othersEnd(f)):
+	case n < 3 || conclusiveEnds == 0 || (conclusiveEnds == 1 && k.hasUnrelatedEnds(f)):
 		return Isolated
-	case proofs == 1 && own == 0 && len(callers) == 1 && time.Since(x.last) >= time.Minute:
+	case conclusiveEnds == 1 && ownEnds == 0 && len(callers) == 1 && time.Since(x.lastEnd) >= time.Minute:
 		return Isolated
 	}
 	return Quarantined
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{told: make([][]Cursor, n)}
+	f := &fleet{cursors: make([][]Cursor, n)}
 	for i := range n {
-		f.books, f.oracles = append(f.books, newTestBook()), append(f.oracles, known{})
-		f.told[i] = make([]Cursor, n)
+		f.books, f.oracles = append(f.books, newTestBook()), append(f.oracles, knowledge{})
+		f.cursors[i] = make([]Cursor, n)
 	}
 	return f
 }
 
-// ask lets a node ask another for what it was not told before; the answer may
-// get lost, or be taken over twice.
-func (f *fleet) ask(by, whom int, answers int) {
-	r := f.books[whom].Since(f.told[by][whom])
+// fetch requests the changes since the last fetch from another node and applies
+// the answer the given number of times; 0 simulates a lost answer.
+func (f *fleet) fetch(by, from int, answers int) {
+	r := f.books[from].Since(f.cursors[by][from])
 	for range answers {
 		f.books[by].Learn(r)
-		f.told[by][whom] = r.Next
-		f.oracles[by].learn(f.oracles[whom])
+		f.cursors[by][from] = r.Next
+		f.oracles[by].merge(f.oracles[from])
 	}
 }
 
 func (f *fleet) check(t *rapid.T) {
-	time.Sleep(settleTime)
+	time.Sleep(provisionalTerm)
 	for i, b := range f.books {
 		for fp := range Fingerprint(3) {
 			for _, c := range []Caller{"a", "b"} {
 				if got, want := b.Stage(fp, c), f.oracles[i].stage(fp, c); got != want {
-					t.Fatalf("node %d, request %d of %s: %s, want %s; knows %+v", i, fp, c, got, want, f.oracles[i].of(fp))
+					t.Fatalf("node %d, request %d of caller %s: stage %s, want %s; facts %+v", i, fp, c, got, want, f.oracles[i].factsFor(fp))
 				}
 			}
 		}
 	}
 }
 
-// TestNodesKnowWhatTheyWereTold drives the books of a few nodes, which see
-// ends and answers, ask each other in any order with answers that get lost or
-// come twice, and start anew with nothing, against sets of facts. In the end
-// all ask all, and all agree.
-func TestNodesKnowWhatTheyWereTold(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { rapid.Check(bubbleTB{t}, checkFleet) })
+// TestNodesConverge compares Books with the oracle while nodes record ends and
+// answers, exchange reports that are lost or duplicated, and restart without
+// state. Once every node has fetched from every other, all must agree.
+func TestNodesConverge(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { rapid.Check(synctestTB{t}, checkFleet) })
 }
 
 func checkFleet(t *rapid.T) {
@@ -181,50 +178,51 @@
 	caller := func() Caller { return Caller(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller")) }
 	t.Repeat(map[string]func(*rapid.T){
 		"end": func(t *rapid.T) {
-			if f.ids >= mostEnds {
-				t.Skip("as many as are kept")
+			if f.lastID >= maxEnds {
+				t.Skip("maxEnds reached")
 			}
-			f.ids++
+			f.lastID++
 			i := node()
 			for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 2), 1, 3, rapid.ID).Draw(t, "requests") {
 				fp := Fingerprint(n)
-				e := End{ID: f.ids, Caller: caller(), Alone: rapid.Bool().Draw(t, "alone")}
+				e := End{ID: f.lastID, Caller: caller(), Alone: rapid.Bool().Draw(t, "alone")}
 				f.books[i].Ended(fp, e)
-				x := f.oracles[i].of(fp)
-				x.ends[e.ID], x.last = e, time.Now()
+				x := f.oracles[i].factsFor(fp)
+				x.ends[e.ID], x.lastEnd = e, time.Now()
 				// Another node saw it too, and knows less of it.
 				j := node()
+				// Another node records the same end with less information.
 				e.Alone = false
 				f.books[j].Ended(fp, e)
-				f.oracles[j].learn(known{fp: {ends: map[EndID]End{e.ID: e}, last: x.last}})
+				f.oracles[j].merge(knowledge{fp: {ends: map[EndID]End{e.ID: e}, lastEnd: x.lastEnd}})
 			}
 		},
 		"answer": func(t *rapid.T) {
 			i, fp, c := node(), request(), caller()
 			f.books[i].Answered(fp, c)
-			if len(f.oracles[i].of(fp).ends) == 0 && len(f.oracles[i].of(fp).sound) == 0 {
-				return // of no interest
+			if len(f.oracles[i].factsFor(fp).ends) == 0 && len(f.oracles[i].factsFor(fp).answered) == 0 {
+				return // not recorded
 			}
-			x := f.oracles[i].of(fp)
-			x.sound[c] = true
+			x := f.oracles[i].factsFor(fp)
+			x.answered[c] = true
 			for id, e := range x.ends {
 				e.Cleared = e.Cleared || e.Caller == c
 				x.ends[id] = e
 			}
 		},
 		"ask": func(t *rapid.T) {
-			f.ask(node(), node(), rapid.IntRange(0, 2).Draw(t, "answers"))
+			f.fetch(node(), node(), rapid.IntRange(0, 2).Draw(t, "answers"))
 		},
 		"restart": func(t *rapid.T) {
 			i := node()
-			f.books[i], f.oracles[i], f.told[i] = newTestBook(), known{}, make([]Cursor, nodes)
+			f.books[i], f.oracles[i], f.cursors[i] = newTestBook(), knowledge{}, make([]Cursor, nodes)
 		},
 		"": f.check,
 	})
 	for range nodes {
 		for i := range nodes {
 			for j := range nodes {
-				f.ask(i, j, 1)
+				f.fetch(i, j, 1)
 			}
 		}
 	}
@@ -233,7 +231,7 @@
 		for j := range nodes {
 			for fp := range Fingerprint(3) {
 				if f.books[i].Stage(fp, "a") != f.books[j].Stage(fp, "a") {
-					t.Fatalf("nodes %d and %d do not agree on request %d", i, j, fp)
+					t.Fatalf("nodes %d and %d disagree on the stage of request %d", i, j, fp)
 				}
 			}
 		}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -16,86 +16,83 @@
 	return NewBook(Config{Log: &log.Logger{Handler: discard.New()}})
 }
 
-func end(id EndID, c Caller) End { return End{ID: id, Caller: c} }
+func newEnd(id EndID, c Caller) End { return End{ID: id, Caller: c} }
 
-func alone(id EndID, c Caller) End { return End{ID: id, Caller: c, Alone: true} }
+func newIsolatedEnd(id EndID, c Caller) End { return End{ID: id, Caller: c, Alone: true} }
 
-// One request after the other ends an instance. The second time it was there
-// it runs isolated, and after the third it runs no more.
-func TestTheThirdEndIsTheLast(t *testing.T) {
+// A request that ends instances is suspect after the first end, isolated after
+// the second and quarantined after the third.
+func TestQuarantineAfterThreeEnds(t *testing.T) {
 	Convey("Free, suspect, isolated, quarantined", t, func() {
 		b := newTestBook()
 		So(b.Stage(fatal, "a"), ShouldEqual, Free)
-		So(b.Ended(fatal, end(1, "a")), ShouldBeTrue)
+		So(b.Ended(fatal, newEnd(1, "a")), ShouldBeTrue)
 		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-		b.Ended(fatal, end(2, "a"))
+		b.Ended(fatal, newEnd(2, "a"))
 		So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-		b.Ended(fatal, alone(3, "a"))
+		b.Ended(fatal, newIsolatedEnd(3, "a"))
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		So(b.Left(fatal, "a"), ShouldBeBetween, Term-time.Second, Term+1)
 		So(b.Count(Quarantined), ShouldEqual, 1)
 	})
-	Convey("The same end told twice, by the nodes at both sides of it, is one", t, func() {
+	Convey("An end recorded twice, by the nodes at both sides of a call, counts once", t, func() {
 		b := newTestBook()
-		b.Ended(fatal, end(1, "a"))
-		So(b.Ended(fatal, end(1, "a")), ShouldBeFalse)
+		b.Ended(fatal, newEnd(1, "a"))
+		So(b.Ended(fatal, newEnd(1, "a")), ShouldBeFalse)
 		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
 	})
-	Convey("With the policy off it runs on", t, func() {
+	Convey("If quarantine is off, the request remains free", t, func() {
 		b := NewBook(Config{Off: true, Log: &log.Logger{Handler: discard.New()}})
 		for i := range 5 {
-			b.Ended(fatal, alone(EndID(i+1), "a"))
+			b.Ended(fatal, newIsolatedEnd(EndID(i+1), "a"))
 		}
 		So(b.Stage(fatal, "a"), ShouldEqual, Free)
 	})
 }
 
-// A rack loses power, and the same popular page was being read at five of its
-// instances. It has ended none of them.
-func TestManyEndsAtOnceAreNoProof(t *testing.T) {
+// Five instances lose power while they run the same harmless request.
+func TestSimultaneousEndsQuarantineBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("The page is kept back shortly, and isolated until it has been answered once", t, func() {
+		Convey("The request is quarantined for provisionalTerm, then isolated until it is answered", t, func() {
 			b := newTestBook()
 			for i := range 5 {
-				b.Ended(fatal, end(EndID(i+1), "a"))
+				b.Ended(fatal, newEnd(EndID(i+1), "a"))
 			}
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-			So(b.Left(fatal, "a"), ShouldEqual, settleTime)
-			time.Sleep(settleTime)
+			So(b.Left(fatal, "a"), ShouldEqual, provisionalTerm)
+			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
 			So(b.Answered(fatal, "a"), ShouldBeTrue)
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
 			So(b.Answered(fatal, "a"), ShouldBeFalse)
-			// Ends after that count anew.
-			b.Ended(fatal, end(11, "a"))
+			// Ends after the answer count from zero.
+			b.Ended(fatal, newEnd(11, "a"))
 			So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-			b.Ended(fatal, end(12, "a"))
-			b.Ended(fatal, alone(13, "a"))
-			time.Sleep(settleTime)
+			b.Ended(fatal, newEnd(12, "a"))
+			b.Ended(fatal, newIsolatedEnd(13, "a"))
+			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// Callers of one service send what ends instances; those of another send the
-// same. Which of them is the same sender at another VM, the service does not
-// say: it is kept out for a minute, then runs isolated, and is answered or ends
-// one more instance, the last.
-func TestTheSameContentFromAnotherCaller(t *testing.T) {
-	quarantined := func() *Book {
+// A caller's quarantine applies to the same request from another caller for a
+// minute. Then it runs isolated, and is cleared or quarantined for all callers.
+func TestSameRequestFromAnotherCaller(t *testing.T) {
+	quarantinedBook := func() *Book {
 		b := newTestBook()
-		b.Ended(fatal, end(1, "a"))
-		b.Ended(fatal, end(2, "a"))
-		b.Ended(fatal, alone(3, "a"))
-		time.Sleep(settleTime)
+		b.Ended(fatal, newEnd(1, "a"))
+		b.Ended(fatal, newEnd(2, "a"))
+		b.Ended(fatal, newIsolatedEnd(3, "a"))
+		time.Sleep(provisionalTerm)
 		return b
 	}
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Another caller's runs isolated after a minute, and free when it is answered; that clears nobody else's", t, func() {
-			b := quarantined()
+		Convey("Another caller's request runs isolated after a minute and is free once answered; other callers' requests are not cleared", t, func() {
+			b := quarantinedBook()
 			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
-			So(b.Left(fatal, "b"), ShouldEqual, time.Minute-settleTime)
-			So(b.Left(fatal, "a"), ShouldEqual, Term-settleTime)
+			So(b.Left(fatal, "b"), ShouldEqual, time.Minute-provisionalTerm)
+			So(b.Left(fatal, "a"), ShouldEqual, Term-provisionalTerm)
 			time.Sleep(time.Minute)
 			So(b.Stage(fatal, "b"), ShouldEqual, Isolated)
 			b.Answered(fatal, "b")
@@ -103,136 +100,133 @@
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			So(b.Stage(fatal, "c"), ShouldEqual, Isolated)
 		})
-		Convey("If it ends one more, nobody's runs", t, func() {
-			b := quarantined()
+		Convey("If it ends one more instance, it is quarantined for all callers", t, func() {
+			b := quarantinedBook()
 			time.Sleep(time.Minute)
-			b.Ended(fatal, alone(4, "b"))
+			b.Ended(fatal, newIsolatedEnd(4, "b"))
 			time.Sleep(Term)
 			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
 			So(b.Stage(fatal, "c"), ShouldEqual, Quarantined)
 		})
-		Convey("Who has been answered before is not kept out", t, func() {
+		Convey("A caller that was answered before is not affected", t, func() {
 			b := newTestBook()
-			b.Ended(fatal, end(1, "a"))
+			b.Ended(fatal, newEnd(1, "a"))
 			b.Answered(fatal, "b")
-			b.Ended(fatal, end(2, "a"))
-			b.Ended(fatal, alone(3, "a"))
+			b.Ended(fatal, newEnd(2, "a"))
+			b.Ended(fatal, newIsolatedEnd(3, "a"))
 			So(b.Stage(fatal, "b"), ShouldEqual, Free)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// Three instances ended by themselves, and a harmless request was at two other
-// ends and ran isolated at a third. One more end alone keeps it out; an answer
-// lets it run free.
-func TestOneProofIsTooFewWhereInstancesEndByThemselves(t *testing.T) {
+// Three instances ended spontaneously, and a harmless request was isolated at
+// one other end. Only a second such end may quarantine it for the full term.
+func TestUnrelatedEndsRequireSecondConclusiveEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		restless := func(elsewhere int) *Book {
+		bookWithUnrelatedEnds := func(unrelated int) *Book {
 			b := newTestBook()
-			for i := range elsewhere {
-				b.Ended(Fingerprint(100+i), end(EndID(100+i), "a"))
+			for i := range unrelated {
+				b.Ended(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 			}
-			b.Ended(fatal, end(1, "a"))
-			b.Ended(fatal, end(2, "a"))
-			b.Ended(fatal, alone(3, "a"))
-			time.Sleep(settleTime)
+			b.Ended(fatal, newEnd(1, "a"))
+			b.Ended(fatal, newEnd(2, "a"))
+			b.Ended(fatal, newIsolatedEnd(3, "a"))
+			time.Sleep(provisionalTerm)
 			return b
 		}
-		Convey("Two elsewhere are few", t, func() {
-			So(restless(2).Stage(fatal, "a"), ShouldEqual, Quarantined)
+		Convey("With two unrelated ends, one conclusive end is enough", t, func() {
+			So(bookWithUnrelatedEnds(2).Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
-		Convey("Three are not: it runs isolated again, and a second proof keeps it out", t, func() {
-			b := restless(3)
+		Convey("With three, the request runs isolated again until a second conclusive end", t, func() {
+			b := bookWithUnrelatedEnds(3)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.Ended(fatal, alone(4, "a"))
-			time.Sleep(settleTime)
+			b.Ended(fatal, newIsolatedEnd(4, "a"))
+			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
-		Convey("Or is answered, and runs free", t, func() {
-			b := restless(3)
+		Convey("With three, an answer clears the request", t, func() {
+			b := bookWithUnrelatedEnds(3)
 			b.Answered(fatal, "a")
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
 		})
-		Convey("Ends under a request that is known to end instances do not count", t, func() {
-			b := restless(3)
+		Convey("Ends attributed to another request are not unrelated", t, func() {
+			b := bookWithUnrelatedEnds(3)
 			for i := range 3 {
-				b.Ended(9, alone(EndID(100+i), "a"))
+				b.Ended(9, newIsolatedEnd(EndID(100+i), "a"))
 			}
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// A harmless request came where two instances ended, and ran isolated where a
-// third did: what ended that one had just begun there, and nobody knew it. When
-// that has ended another instance alone, the harmless one runs again.
-func TestAnEndIsAnothersDoing(t *testing.T) {
+// A harmless request was isolated at an end that an unknown request caused. It
+// must run again once that request has ended another instance while isolated.
+func TestEndCausedByAnotherRequest(t *testing.T) {
 	const harmless = Fingerprint(8)
 	synctest.Test(t, func(t *testing.T) {
-		beside := func() *Book {
+		bookWithSharedEnd := func() *Book {
 			b := newTestBook()
-			b.Ended(harmless, end(1, "a"))
-			b.Ended(harmless, end(2, "a"))
-			b.Ended(harmless, alone(3, "a"))
-			b.Ended(fatal, end(3, "a"))
-			time.Sleep(settleTime)
+			b.Ended(harmless, newEnd(1, "a"))
+			b.Ended(harmless, newEnd(2, "a"))
+			b.Ended(harmless, newIsolatedEnd(3, "a"))
+			b.Ended(fatal, newEnd(3, "a"))
+			time.Sleep(provisionalTerm)
 			return b
 		}
-		Convey("It runs isolated as soon as the other one is known, and that one does not", t, func() {
-			b := beside()
+		Convey("Once the other request is known, it is quarantined and the harmless one runs isolated", t, func() {
+			b := bookWithSharedEnd()
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
-			b.Ended(fatal, end(4, "a"))
-			b.Ended(fatal, alone(5, "a"))
-			time.Sleep(settleTime)
+			b.Ended(fatal, newEnd(4, "a"))
+			b.Ended(fatal, newIsolatedEnd(5, "a"))
+			time.Sleep(provisionalTerm)
 			So(b.Stage(harmless, "a"), ShouldEqual, Isolated)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
-		Convey("Not if the other one has run to an answer since", t, func() {
-			b := beside()
-			b.Ended(fatal, alone(5, "a"))
+		Convey("Not if the other request has since been answered", t, func() {
+			b := bookWithSharedEnd()
+			b.Ended(fatal, newIsolatedEnd(5, "a"))
 			b.Answered(fatal, "a")
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// Whoever sends it may have mended it, or the service may have been.
-func TestAQuarantineHasATerm(t *testing.T) {
+// The request or the service may be fixed while it is quarantined.
+func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("It runs isolated after its term, and one more end doubles that", t, func() {
+		Convey("The request runs isolated after its term, and a further end doubles the term", t, func() {
 			b := newTestBook()
-			b.Ended(fatal, end(1, "a"))
-			b.Ended(fatal, end(2, "a"))
-			b.Ended(fatal, alone(3, "a"))
+			b.Ended(fatal, newEnd(1, "a"))
+			b.Ended(fatal, newEnd(2, "a"))
+			b.Ended(fatal, newIsolatedEnd(3, "a"))
 			time.Sleep(Term - time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.Ended(fatal, alone(4, "a"))
+			b.Ended(fatal, newIsolatedEnd(4, "a"))
 			time.Sleep(2*Term - time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			time.Sleep(forgetAfter)
-			b.Ended(1, end(5, "a"))
+			time.Sleep(recordTTL)
+			b.Ended(1, newEnd(5, "a"))
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
 			So(len(b.records), ShouldEqual, 1)
 		})
 	})
 }
 
-// Two nodes tell each other the same again and again. That must not keep it
-// alive.
-func TestWhatIsToldAgainAndAgainIsForgottenInTime(t *testing.T) {
+// Two nodes that repeat the same record to each other must not keep it alive.
+func TestRepeatedReportsDoNotExtendTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Nobody holds it when its time is over", t, func() {
+		Convey("Both nodes drop the record after recordTTL", t, func() {
 			a, b := newTestBook(), newTestBook()
-			a.Ended(fatal, end(1, "a"))
+			a.Ended(fatal, newEnd(1, "a"))
 			for range 60 {
 				b.Learn(a.Since(Cursor{}))
 				a.Learn(b.Since(Cursor{}))
-				time.Sleep(forgetAfter / 50)
+				time.Sleep(recordTTL / 50)
 			}
 			a.sweep()
 			b.sweep()
@@ -241,43 +235,43 @@
 	})
 }
 
-// Hundreds of instances end over the day, each with what was in progress.
-func TestABookIsBounded(t *testing.T) {
-	Convey("What is quarantined stays when there is too much", t, func() {
+// Hundreds of instances end, each with many requests in progress.
+func TestRecordsAreBounded(t *testing.T) {
+	Convey("Quarantined requests are evicted last", t, func() {
 		b := newTestBook()
 		for i := range 3 {
-			b.Ended(fatal, alone(EndID(i+1), "a"))
+			b.Ended(fatal, newIsolatedEnd(EndID(i+1), "a"))
 		}
-		for i := range 2 * mostRecords {
-			b.Ended(Fingerprint(100+i), end(EndID(100+i), "a"))
+		for i := range 2 * maxRecords {
+			b.Ended(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 		}
-		So(len(b.records), ShouldBeLessThanOrEqualTo, mostRecords)
+		So(len(b.records), ShouldBeLessThanOrEqualTo, maxRecords)
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 	})
-	Convey("Of one request, what counts stays", t, func() {
+	Convey("Cleared ends of a request are replaced first", t, func() {
 		b := newTestBook()
-		for i := range 3 * mostEnds {
-			b.Ended(fatal, end(EndID(i+1), "a"))
+		for i := range 3 * maxEnds {
+			b.Ended(fatal, newEnd(EndID(i+1), "a"))
 			b.Answered(fatal, "a")
 		}
 		for i := range 3 {
-			b.Ended(fatal, alone(EndID(1000+i), "a"))
+			b.Ended(fatal, newIsolatedEnd(EndID(1000+i), "a"))
 		}
-		So(len(b.records[fatal].Ends), ShouldBeLessThanOrEqualTo, mostEnds)
+		So(len(b.records[fatal].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 	})
 }
 
-// An isolated request is to be the only suspect at its instance, so that an end
-// says which it was.
-func TestAnIsolatedRequestRunsBesideNoSuspect(t *testing.T) {
+// An isolated request must be the only suspect at its instance, so that an end
+// can be attributed to it.
+func TestIsolatedRequestExcludesSuspects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Suspects run beside each other, and wait for an isolated one as it does for them", t, func() {
+		Convey("Suspects run concurrently; suspect and isolated requests exclude each other", t, func() {
 			l := NewLane()
-			enter := func(s Stage) (leave func(), waited time.Duration, ok bool) {
-				began := time.Now()
-				leave, ok = l.Enter(t.Context(), s, time.Second)
-				return leave, time.Since(began), ok
+			enter := func(s Stage) (release func(), waited time.Duration, ok bool) {
+				start := time.Now()
+				release, ok = l.Enter(t.Context(), s, time.Second)
+				return release, time.Since(start), ok
 			}
 			first, _, _ := enter(Suspect)
 			second, waited, ok := enter(Suspect)
@@ -288,7 +282,7 @@
 			So(waited, ShouldEqual, time.Second)
 			second()
 			time.AfterFunc(time.Second/2, first)
-			leave, waited, ok := enter(Isolated)
+			release, waited, ok := enter(Isolated)
 			So(ok, ShouldBeTrue)
 			So(waited, ShouldEqual, time.Second/2)
 			_, _, ok = enter(Suspect)
@@ -298,28 +292,28 @@
 			_, waited, ok = enter(Free)
 			So(ok, ShouldBeTrue)
 			So(waited, ShouldEqual, 0)
-			leave()
+			release()
 			_, _, ok = enter(Suspect)
 			So(ok, ShouldBeTrue)
 		})
 	})
 }
 
-func TestAHomeIsTheSameForAll(t *testing.T) {
-	Convey("Whatever the order; and only what lived at a lost place moves", t, func() {
-		self := func(s string) string { return s }
+func TestIsolationInstanceIsConsistent(t *testing.T) {
+	Convey("Order does not matter, and removing a candidate moves only its own requests", t, func() {
+		identity := func(s string) string { return s }
 		moved := 0
 		for f := range Fingerprint(300) {
-			home := Home(f, []string{"a", "b", "c"}, self)
-			So(Home(f, []string{"c", "a", "b"}, self), ShouldResemble, home)
-			rest := Home(f, []string{"b", "c"}, self)
-			if home[0] == "a" {
+			selected := Home(f, []string{"a", "b", "c"}, identity)
+			So(Home(f, []string{"c", "a", "b"}, identity), ShouldResemble, selected)
+			rest := Home(f, []string{"b", "c"}, identity)
+			if selected[0] == "a" {
 				moved++
 			} else {
-				So(rest, ShouldResemble, home)
+				So(rest, ShouldResemble, selected)
 			}
 		}
 		So(moved, ShouldBeBetween, 60, 140)
-		So(Home(1, nil, self), ShouldBeEmpty)
+		So(Home(1, nil, identity), ShouldBeEmpty)
 	})
 }
--- /dev/null
+++ b/quarantine/simulation_test.go
@@ -0,0 +1,364 @@
+package quarantine
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+const (
+	tick = 5 * time.Millisecond
+	// maxConcurrent is the number of requests in progress at an instance.
+	maxConcurrent = 60
+	workTime      = 220 * time.Millisecond
+	downTime      = 3 * time.Second
+	// retryDelay is the time until a caller's retry arrives on a new
+	// connection.
+	retryDelay = 10 * time.Millisecond
+	// isolationTimeout bounds the wait for requests that exclude this one.
+	isolationTimeout = time.Second
+	// convergenceTime is how long after a request's third end every node must
+	// know of it. From then on, the request may end at most maxLateEnds
+	// instances.
+	convergenceTime = 3 * time.Second
+	maxLateEnds     = 3
+)
+
+type (
+	// simulation runs a service's instances under mostly harmless requests,
+	// each with its own fingerprint, and a few fatal ones that end every
+	// instance that runs them. Each instance has a node with a Book. Changes to
+	// one Book reach the others after the propagation delay.
+	simulation struct {
+		rng             *rand.Rand
+		books           []*Book
+		instances       []*instance
+		propagation     time.Duration
+		spontaneousEnds float64 // per second
+
+		next       Fingerprint // of the next harmless request
+		scheduled  []func()    // to be called at the next tick
+		bystanders []Fingerprint
+		fatalRuns  map[Fingerprint]int // number of times each fatal request ran
+		ended      map[Fingerprint][]time.Time
+		lateEnds   map[Fingerprint]int // ends later than convergenceTime after the third
+		lastID     EndID
+	}
+
+	instance struct {
+		name       string
+		upSince    time.Time // in the future while the instance is down
+		executions []*execution
+	}
+
+	execution struct {
+		fingerprint Fingerprint
+		caller      Caller
+		fatal       bool
+		stage       Stage     // at the start
+		endsAt      time.Time // end of the execution or, if fatal, of the instance
+	}
+)
+
+func newSimulation(seed uint64, instances int, propagation time.Duration) *simulation {
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, fatalRuns: map[Fingerprint]int{}, ended: map[Fingerprint][]time.Time{}, lateEnds: map[Fingerprint]int{}}
+	for i := range instances {
+		s.books = append(s.books, newTestBook())
+		s.instances = append(s.instances, &instance{name: strconv.Itoa(i), upSince: time.Now()})
+	}
+	return s
+}
+
+// arrive simulates a request at a node, which routes it to an instance.
+func (s *simulation) arrive(f Fingerprint, fatal bool, at int) {
+	from := Caller("a")
+	if at%2 == 1 {
+		from = "b"
+	}
+	b := s.books[at]
+	var up []*instance
+	for _, in := range s.instances {
+		if !in.upSince.After(time.Now()) && len(in.executions) < maxConcurrent {
+			up = append(up, in)
+		}
+	}
+	stage := b.Stage(f, from)
+	if stage == Quarantined || len(up) == 0 {
+		return
+	}
+	e := &execution{fingerprint: f, caller: from, fatal: fatal}
+	if stage == Isolated {
+		s.runIsolated(e)
+		return
+	}
+	s.start(up[s.rng.IntN(len(up))], e, isolationTimeout)
+}
+
+// runIsolated routes an isolated request to the instance selected for it, or to
+// the next one if that is down: an ended instance stays listed for a while.
+func (s *simulation) runIsolated(e *execution) {
+	for remaining := slices.Clone(s.instances); len(remaining) > 0; {
+		in := Home(e.fingerprint, remaining, func(in *instance) string { return in.name })[0]
+		if s.bookOf(in).Stage(e.fingerprint, e.caller) == Quarantined {
+			return
+		}
+		if !in.upSince.After(time.Now()) {
+			s.start(in, e, isolationTimeout)
+			return
+		}
+		remaining = slices.DeleteFunc(remaining, func(other *instance) bool { return other == in })
+	}
+}
+
+// schedule calls f after a delay.
+func (s *simulation) schedule(delay time.Duration, f func()) {
+	s.scheduled = append(s.scheduled, func() {
+		if delay -= tick; delay > 0 {
+			s.schedule(delay, f)
+			return
+		}
+		f()
+	})
+}
+
+// start simulates the node beside the instance.
+func (s *simulation) start(in *instance, e *execution, timeout time.Duration) {
+	e.stage = s.bookOf(in).Stage(e.fingerprint, e.caller)
+	switch {
+	case e.stage == Quarantined || in.upSince.After(time.Now()):
+		return
+	case in.blocks(e.stage):
+		if timeout > 0 {
+			s.scheduled = append(s.scheduled, func() { s.start(in, e, timeout-tick) })
+		}
+		return
+	}
+	work := workTime
+	if e.fatal {
+		s.fatalRuns[e.fingerprint]++
+		work = time.Duration(30+s.rng.IntN(100)) * time.Millisecond
+	}
+	e.endsAt = time.Now().Add(work)
+	in.executions = append(in.executions, e)
+}
+
+// blocks reports whether a request at a stage has to wait.
+func (in *instance) blocks(s Stage) bool {
+	for _, e := range in.executions {
+		if (s == Isolated && e.stage >= Suspect) || (s == Suspect && e.stage == Isolated) {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *simulation) bookOf(in *instance) *Book {
+	for i := range s.instances {
+		if s.instances[i] == in {
+			return s.books[i]
+		}
+	}
+	return nil
+}
+
+// advance simulates one tick at an instance.
+func (s *simulation) advance(in *instance) {
+	now := time.Now()
+	remaining := in.executions[:0]
+	crash := s.rng.Float64() < s.spontaneousEnds*tick.Seconds()/float64(len(s.instances)) && !in.upSince.After(now)
+	for _, e := range in.executions {
+		switch {
+		case e.endsAt.After(now):
+			remaining = append(remaining, e)
+		case e.fatal:
+			crash = true
+			remaining = append(remaining, e)
+		default:
+			s.answered(in, e)
+		}
+	}
+	in.executions = remaining
+	if crash {
+		s.crash(in)
+	}
+}
+
+func (s *simulation) answered(in *instance, e *execution) {
+	b := s.bookOf(in)
+	if b.Answered(e.fingerprint, e.caller) {
+		s.propagate(b, e.fingerprint)
+	}
+}
+
+func (s *simulation) crash(in *instance) {
+	b := s.bookOf(in)
+	s.lastID++
+	var fingerprints []Fingerprint
+	interrupted := in.executions
+	for _, e := range in.executions {
+		b.Ended(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Alone: e.stage == Isolated})
+		fingerprints = append(fingerprints, e.fingerprint)
+		if !e.fatal {
+			s.bystanders = append(s.bystanders, e.fingerprint)
+			continue
+		}
+		s.ended[e.fingerprint] = append(s.ended[e.fingerprint], time.Now())
+		if ends := s.ended[e.fingerprint]; len(ends) > 3 && time.Since(ends[2]) > convergenceTime {
+			s.lateEnds[e.fingerprint]++
+		}
+	}
+	in.executions, in.upSince = nil, time.Now().Add(downTime)
+	s.propagate(b, fingerprints...)
+	for _, e := range interrupted {
+		at := s.rng.IntN(len(s.books))
+		s.schedule(retryDelay, func() { s.arrive(e.fingerprint, e.fatal, at) }) // retry by the caller
+	}
+}
+
+// propagate sends a Book's records to all nodes after the propagation delay.
+func (s *simulation) propagate(b *Book, fs ...Fingerprint) {
+	report := b.Of(fs)
+	time.AfterFunc(s.propagation, func() {
+		for _, other := range s.books {
+			other.Learn(report)
+		}
+	})
+}
+
+// run simulates harmless requests at a rate per second, and a fatal one at each
+// interval, for a duration.
+func (s *simulation) run(d time.Duration, rate float64, fatal []Fingerprint, every time.Duration) {
+	due := 0.0
+	for at := time.Duration(0); at < d; at += tick {
+		for due += rate * tick.Seconds(); due >= 1; due-- {
+			s.next++
+			s.arrive(s.next, false, s.rng.IntN(len(s.books)))
+		}
+		if every > 0 && at%every == 0 {
+			s.arrive(fatal[int(at/every)%len(fatal)], true, s.rng.IntN(len(s.books)))
+		}
+		pending := s.scheduled
+		s.scheduled = nil
+		for _, f := range pending {
+			f()
+		}
+		for _, in := range s.instances {
+			s.advance(in)
+		}
+		time.Sleep(tick)
+	}
+}
+
+// quarantinedBystanders returns the number of harmless requests that are
+// quarantined.
+func (s *simulation) quarantinedBystanders() int {
+	lost := map[Fingerprint]bool{}
+	for _, f := range s.bystanders {
+		if s.worstStage(f) == Quarantined {
+			lost[f] = true
+		}
+	}
+	return len(lost)
+}
+
+// worstStage returns the highest stage for any caller.
+func (s *simulation) worstStage(f Fingerprint) Stage {
+	return max(s.books[0].Stage(f, "a"), s.books[0].Stage(f, "b"))
+}
+
+type scenario struct {
+	instances       int
+	propagation     time.Duration
+	fatal           []Fingerprint
+	interval        time.Duration
+	spontaneousEnds float64
+}
+
+func (c scenario) run(t *testing.T, seed uint64) {
+	name := fmt.Sprintf("%d instances, propagation %s, %d fatal every %s, %.1f spontaneous ends/s, seed %d", c.instances, c.propagation, len(c.fatal), c.interval, c.spontaneousEnds, seed)
+	t.Run(name, func(t *testing.T) {
+		synctest.Test(t, func(t *testing.T) {
+			s := newSimulation(seed, c.instances, c.propagation)
+			s.spontaneousEnds = c.spontaneousEnds
+			rate := 40 * float64(c.instances)
+			Convey(name, t, func() {
+				s.run(time.Second, rate, nil, 0)
+				s.run(40*time.Second, rate, c.fatal, c.interval)
+				s.run(10*time.Second, rate, nil, 0)
+				for _, f := range c.fatal {
+					So(len(s.ended[f]), ShouldBeGreaterThanOrEqualTo, 3)
+					So(s.lateEnds[f], ShouldBeLessThanOrEqualTo, maxLateEnds)
+					So(s.worstStage(f), ShouldEqual, Quarantined)
+				}
+				So(s.quarantinedBystanders(), ShouldEqual, 0)
+			})
+			t.Logf("%d bystanders, fatal runs %v, late ends %v", len(s.bystanders), s.fatalRuns, s.lateEnds)
+		})
+	})
+}
+
+// Fatal requests end instances with sixty others in progress each, and callers
+// retry at once. With slow propagation, several fatal requests or spontaneous
+// ends, few more instances may end, and no harmless request may be quarantined.
+func TestFatalRequestsAreContained(t *testing.T) {
+	for _, c := range []scenario{
+		{6, 30 * time.Millisecond, []Fingerprint{1}, 300 * time.Millisecond, 0},
+		{6, time.Second, []Fingerprint{1}, 500 * time.Millisecond, 0},
+		{6, 30 * time.Millisecond, []Fingerprint{1}, 5 * time.Second, 0},
+		threeConcurrent,
+		withSpontaneousEnds,
+		{93, 50 * time.Millisecond, []Fingerprint{1, 2}, 200 * time.Millisecond, 0},
+	} {
+		for seed := range uint64(5) {
+			c.run(t, seed)
+		}
+	}
+}
+
+var (
+	threeConcurrent     = scenario{6, 30 * time.Millisecond, []Fingerprint{1, 2, 3}, 200 * time.Millisecond, 0}
+	withSpontaneousEnds = scenario{6, 30 * time.Millisecond, []Fingerprint{1}, 400 * time.Millisecond, 0.5}
+)
+
+// A harmless request that ran isolated beside a fatal one not yet known must
+// not stay quarantined once the fatal one has ended other instances.
+func TestThreeConcurrentFatalRequests(t *testing.T) {
+	for _, seed := range []uint64{35, 42, 54, 90} {
+		threeConcurrent.run(t, seed)
+	}
+}
+
+// An instance ends spontaneously every two seconds. A harmless request that was
+// isolated at such an end must not be quarantined for a full term.
+func TestFatalRequestAmongSpontaneousEnds(t *testing.T) {
+	withSpontaneousEnds.run(t, 43)
+}
+
+// All nodes restart without state while a request is quarantined. It may end
+// three instances again, and a fourth if another caller sends it.
+func TestFatalRequestAfterFullRestart(t *testing.T) {
+	for _, seed := range restartSeeds {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				Convey("The request ends few instances after convergence", t, func() {
+					s := newSimulation(seed, 6, 8*time.Millisecond)
+					s.run(time.Second, 240, nil, 0)
+					s.run(15*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
+					for i := range s.books {
+						s.books[i] = newTestBook()
+					}
+					s.run(20*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
+					So(s.lateEnds[1], ShouldBeLessThanOrEqualTo, maxLateEnds)
+				})
+			})
+		})
+	}
+}
+
+var restartSeeds = []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19}
