--- a/account/exchange.go
+++ b/account/exchange.go
@@ -141,34 +141,34 @@
 	}
 	x.lastReport = time.Now()
 	r := Report{From: x.cfg.Self, Usage: us}
-	at, ok := x.collector(own, others)
+	to, ok := x.collector(own, others)
 	if !ok {
 		x.limiter.Untold(us)
 		x.reportFailed(book)
 		return
 	}
-	x.switchCollector(ctx, at)
-	if at == x.cfg.Self {
+	x.switchCollector(ctx, to)
+	if to == x.cfg.Self {
 		x.applyStandings(book, x.Take(r))
 		return
 	}
 	reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	standings, err := x.cfg.Tell(reportCtx, at, r)
+	standings, err := x.cfg.Tell(reportCtx, to, r)
 	if err == nil {
 		x.applyStandings(book, standings)
 		return
 	}
 	x.limiter.Untold(us)
-	x.backOff(at, err)
+	x.backOff(to, err)
 	x.reportFailed(book)
 }
 
-// switchCollector makes collector at the current one and tells the previous one
-// that this node has moved.
-func (x *Exchange) switchCollector(ctx context.Context, at Source) {
+// switchCollector sets the current collector and notifies the previous one that
+// this node has moved.
+func (x *Exchange) switchCollector(ctx context.Context, to Source) {
 	previous := x.current
-	if x.current = at; previous == at || previous == "" {
+	if x.current = to; previous == to || previous == "" {
 		return
 	}
 	r := Report{From: x.cfg.Self, Moved: true}
@@ -221,9 +221,9 @@
 	localCollectors := x.available(own)
 	isCollector := len(localCollectors) > 0 && localCollectors[0] == x.cfg.Self
 	var recipients []Source
-	for _, at := range localCollectors {
-		if at != x.cfg.Self {
-			recipients = append(recipients, at)
+	for _, to := range localCollectors {
+		if to != x.cfg.Self {
+			recipients = append(recipients, to)
 		}
 	}
 	standbys := slices.Clone(recipients)
@@ -233,38 +233,38 @@
 		standbys = append(standbys, remote[min(1, len(remote)):]...)
 	}
 	x.ticks++
-	deferred := func(at Source) bool { return isCollector && x.ticks%2 == 0 && slices.Contains(standbys, at) }
-	for at, us := range x.takePending(recipients, deferred) {
+	deferred := func(to Source) bool { return isCollector && x.ticks%2 == 0 && slices.Contains(standbys, to) }
+	for to, us := range x.takePending(recipients, deferred) {
 		if len(us) == 0 && !isCollector {
-			x.clearInFlight(at)
+			x.clearInFlight(to)
 			continue
 		}
-		go x.forwardTo(ctx, at, Report{From: x.cfg.DC, Gathered: true, Usage: us, Standby: isCollector && slices.Contains(localCollectors, at)})
+		go x.forwardTo(ctx, to, Report{From: x.cfg.DC, Gathered: true, Usage: us, Standby: isCollector && slices.Contains(localCollectors, to)})
 	}
 }
 
 // forwardTo sends one forward. Usage that an unreachable collector missed is
 // dropped: it already reserves this data centre's share, and counting old usage
 // later would deduct it twice.
-func (x *Exchange) forwardTo(ctx context.Context, at Source, r Report) {
-	defer x.clearInFlight(at)
+func (x *Exchange) forwardTo(ctx context.Context, to Source, r Report) {
+	defer x.clearInFlight(to)
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := x.cfg.Tell(ctx, at, r); err != nil {
-		x.backOff(at, err)
+	if _, err := x.cfg.Tell(ctx, to, r); err != nil {
+		x.backOff(to, err)
 	}
 }
 
 // clearInFlight allows the next forward to a collector.
-func (x *Exchange) clearInFlight(at Source) {
+func (x *Exchange) clearInFlight(to Source) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.inFlight, at)
+	delete(x.inFlight, to)
 }
 
 // collector returns the collector that this node reports to: one in its own
 // data centre, or in another if none of its own is available.
-func (x *Exchange) collector(own []Source, others [][]Source) (at Source, ok bool) {
+func (x *Exchange) collector(own []Source, others [][]Source) (to Source, ok bool) {
 	for _, dc := range append([][]Source{own}, others...) {
 		if collectors := x.available(dc); len(collectors) > 0 {
 			return collectors[0], true
@@ -283,20 +283,20 @@
 	defer x.mu.Unlock()
 	now := time.Now()
 	var out []Source
-	for _, at := range collectors {
-		if len(out) < collectorsPerDC && !x.backoffUntil[at].After(now) {
-			out = append(out, at)
+	for _, c := range collectors {
+		if len(out) < collectorsPerDC && !x.backoffUntil[c].After(now) {
+			out = append(out, c)
 		}
 	}
 	return out
 }
 
 // backOff reports a failure and skips the collector for collectorBackoff.
-func (x *Exchange) backOff(at Source, err error) {
-	x.cfg.Failed(at, err)
+func (x *Exchange) backOff(to Source, err error) {
+	x.cfg.Failed(to, err)
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.backoffUntil[at] = time.Now().Add(collectorBackoff)
+	x.backoffUntil[to] = time.Now().Add(collectorBackoff)
 }
 
 // takePending removes and returns the pending usage of each recipient, except
@@ -306,17 +306,17 @@
 	defer x.mu.Unlock()
 	out := make(map[Source][]Usage, len(recipients))
 	remaining := make(map[Source]map[Name]Usage, len(recipients))
-	for _, at := range recipients {
-		if queued := x.pending[at]; queued != nil && (x.inFlight[at] || deferred(at)) {
-			remaining[at] = queued
+	for _, to := range recipients {
+		if queued := x.pending[to]; queued != nil && (x.inFlight[to] || deferred(to)) {
+			remaining[to] = queued
 			continue
 		}
-		us := make([]Usage, 0, len(x.pending[at]))
-		for _, u := range x.pending[at] {
+		us := make([]Usage, 0, len(x.pending[to]))
+		for _, u := range x.pending[to] {
 			us = append(us, u)
 		}
-		out[at], remaining[at] = us, map[Name]Usage{}
-		x.inFlight[at] = true
+		out[to], remaining[to] = us, map[Name]Usage{}
+		x.inFlight[to] = true
 	}
 	x.pending = remaining
 	return out
--- a/owner/book.go
+++ b/owner/book.go
@@ -133,11 +133,11 @@
 	if !b.confirmed {
 		return Decline
 	}
-	for _, t := range slices.Backward(b.graphs) {
-		if !b.isNext(t.graph, service, key, made, declined) {
+	for _, applied := range slices.Backward(b.graphs) {
+		if !b.isNext(applied.graph, service, key, made, declined) {
 			return Decline
 		}
-		if made.After(t.appliedAt.Add(Settle)) {
+		if made.After(applied.appliedAt.Add(Settle)) {
 			return Run
 		}
 	}
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -173,11 +173,11 @@
 
 // Since returns the records that changed after a Cursor, or all records if the
 // Cursor is from another process.
-func (b *Book) Since(at Cursor) Report {
+func (b *Book) Since(c Cursor) Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := Report{Next: Cursor{Epoch: b.epoch, Seq: b.seq}}
-	acked := b.ackedSeq(at)
+	acked := b.ackedSeq(c)
 	if acked == b.seq {
 		return r
 	}
@@ -203,18 +203,18 @@
 }
 
 // News returns the notifications of changes after a Cursor.
-func (b *Book) News(at Cursor) News {
+func (b *Book) News(c Cursor) News {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	watch := News{Any: b.changed, Urgent: b.escalated}
-	if b.ackedSeq(at) == b.seq {
+	if b.ackedSeq(c) == b.seq {
 		return watch
 	}
 	closed := make(chan struct{})
 	close(closed)
 	watch.Any = closed
 	for _, e := range b.records {
-		if e.seq > b.ackedSeq(at) && e.worstStage(b) >= Isolated {
+		if e.seq > b.ackedSeq(c) && e.worstStage(b) >= Isolated {
 			watch.Urgent = closed
 		}
 	}
@@ -237,11 +237,11 @@
 
 // ackedSeq returns the sequence number up to which the Cursor's holder knows
 // the changes, or 0 if the Cursor is from another process.
-func (b *Book) ackedSeq(at Cursor) uint64 {
-	if at.Epoch != b.epoch {
+func (b *Book) ackedSeq(c Cursor) uint64 {
+	if c.Epoch != b.epoch {
 		return 0
 	}
-	return at.Seq
+	return c.Seq
 }
 
 // snapshot returns a copy of the record with its current age.
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -189,9 +189,8 @@
 				f.books[i].Ended(fp, e)
 				x := f.oracles[i].factsFor(fp)
 				x.ends[e.ID], x.lastEnd = e, time.Now()
-				// Another node saw it too, and knows less of it.
-				j := node()
 				// Another node records the same end with less information.
+				j := node()
 				e.Alone = false
 				f.books[j].Ended(fp, e)
 				f.oracles[j].merge(knowledge{fp: {ends: map[EndID]End{e.ID: e}, lastEnd: x.lastEnd}})
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -76,28 +76,28 @@
 }
 
 // arrive simulates a request at a node, which routes it to an instance.
-func (s *simulation) arrive(f Fingerprint, fatal bool, at int) {
-	from := Caller("a")
-	if at%2 == 1 {
-		from = "b"
+func (s *simulation) arrive(f Fingerprint, fatal bool, node int) {
+	caller := Caller("a")
+	if node%2 == 1 {
+		caller = "b"
 	}
-	b := s.books[at]
-	var up []*instance
+	b := s.books[node]
+	var candidates []*instance
 	for _, in := range s.instances {
 		if !in.upSince.After(time.Now()) && len(in.executions) < maxConcurrent {
-			up = append(up, in)
+			candidates = append(candidates, in)
 		}
 	}
-	stage := b.Stage(f, from)
-	if stage == Quarantined || len(up) == 0 {
+	stage := b.Stage(f, caller)
+	if stage == Quarantined || len(candidates) == 0 {
 		return
 	}
-	e := &execution{fingerprint: f, caller: from, fatal: fatal}
+	e := &execution{fingerprint: f, caller: caller, fatal: fatal}
 	if stage == Isolated {
 		s.runIsolated(e)
 		return
 	}
-	s.start(up[s.rng.IntN(len(up))], e, isolationTimeout)
+	s.start(candidates[s.rng.IntN(len(candidates))], e, isolationTimeout)
 }
 
 // runIsolated routes an isolated request to the instance selected for it, or to
@@ -233,15 +233,15 @@
 
 // run simulates harmless requests at a rate per second, and a fatal one at each
 // interval, for a duration.
-func (s *simulation) run(d time.Duration, rate float64, fatal []Fingerprint, every time.Duration) {
+func (s *simulation) run(d time.Duration, rate float64, fatal []Fingerprint, interval time.Duration) {
 	due := 0.0
-	for at := time.Duration(0); at < d; at += tick {
+	for elapsed := time.Duration(0); elapsed < d; elapsed += tick {
 		for due += rate * tick.Seconds(); due >= 1; due-- {
 			s.next++
 			s.arrive(s.next, false, s.rng.IntN(len(s.books)))
 		}
-		if every > 0 && at%every == 0 {
-			s.arrive(fatal[int(at/every)%len(fatal)], true, s.rng.IntN(len(s.books)))
+		if interval > 0 && elapsed%interval == 0 {
+			s.arrive(fatal[int(elapsed/interval)%len(fatal)], true, s.rng.IntN(len(s.books)))
 		}
 		pending := s.scheduled
 		s.scheduled = nil
@@ -258,13 +258,13 @@
 // quarantinedBystanders returns the number of harmless requests that are
 // quarantined.
 func (s *simulation) quarantinedBystanders() int {
-	lost := map[Fingerprint]bool{}
+	quarantined := map[Fingerprint]bool{}
 	for _, f := range s.bystanders {
 		if s.worstStage(f) == Quarantined {
-			lost[f] = true
+			quarantined[f] = true
 		}
 	}
-	return len(lost)
+	return len(quarantined)
 }
 
 // worstStage returns the highest stage for any caller.
