--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -9,36 +9,37 @@
 	"github.com/oatpin/oatpin/directory"
 )
 
-// holder returns the client account whose key a new request carries; nil where
-// it needs none. A key that no version known here holds may be of a newer one
-// while the source of the versions is away, and is not refused for good then.
-func (n *Node) holder(r *http.Request, routes *directory.Routes, rt *directory.Route, id call.RequestID) (*account.Account, *refusal) {
+// authenticate returns the client account that holds the request's API key,
+// or nil if none is required. An unknown key is refused with 503 instead of
+// 401 while the directory source is unavailable, because a newer version may
+// contain it.
+func (n *Node) authenticate(r *http.Request, routes *directory.Routes, rt *directory.Route, id call.RequestID) (*account.Account, *refusal) {
 	if routes.Accounts == nil {
 		return nil, nil
 	}
-	key, ok := n.keyOf(r.Header)
+	key, ok := n.apiKey(r.Header)
 	if ok {
 		if a := routes.Accounts.Holder(key); a != nil {
 			return a, nil
 		}
 	}
-	_, isCall := parentID(id)
+	_, isChild := parentID(id)
 	switch {
 	case rt.Public:
 		return nil, nil
-	case isCall && r.Header[n.cfg.Headers.Key] == nil:
-		// Calls carry no key; this node may have been started anew while the
-		// request ran for which it is made.
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, after: comeBackNoRoutes, why: "call for a request that is not known to run here"}
+	case isChild && r.Header[n.cfg.Headers.Key] == nil:
+		// Child requests carry no key. This node may have restarted while the
+		// parent request was running, so the child may be retried.
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "parent request is not running on this node"}
 	case n.dir.SourceAway():
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, after: comeBackNoRoutes, why: "no account holds the key in a version that may be old"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "no account holds the key; the accounts may be outdated"}
 	}
-	return nil, &refusal{code: http.StatusUnauthorized, cause: causeKey, why: "no account holds the key"}
+	return nil, &refusal{code: http.StatusUnauthorized, cause: causeKey, reason: "no account holds the key"}
 }
 
-// keyOf returns the API key in a request's header; ok is false where it has
-// none, or more than one.
-func (n *Node) keyOf(h http.Header) (key string, ok bool) {
+// apiKey returns the API key in a request's header; ok is false if there is
+// no key or more than one.
+func (n *Node) apiKey(h http.Header) (key string, ok bool) {
 	values := h[n.cfg.Headers.Key]
 	if len(values) != 1 {
 		return "", false
@@ -48,30 +49,30 @@
 	return key, found && key != "" && strings.EqualFold(scheme, n.cfg.Headers.KeyScheme)
 }
 
-// withAccount are the header fields of a request as its target is to get them:
-// who holds the caller's key, and never the key, or an account that the caller
-// named.
-func (n *Node) withAccount(fs []call.Field, a *account.Account) []call.Field {
+// withAccountHeader appends the name of the authenticated account to the
+// header fields for the target. The key itself and an account header set by
+// the caller are never forwarded.
+func (n *Node) withAccountHeader(fs []call.Field, a *account.Account) []call.Field {
 	if a == nil {
 		return fs
 	}
 	return append(fs, call.Field{Name: n.cfg.Headers.Account, Value: string(a.Name)})
 }
 
-// withinLimit refuses a request of an account that has sent all that it may.
-func (n *Node) withinLimit(a *account.Account) *refusal {
+// checkRateLimit refuses the request if its account is over its rate limit.
+func (n *Node) checkRateLimit(a *account.Account) *refusal {
 	if !n.cfg.Policies.Limits {
 		return nil
 	}
-	ok, after := n.limiter.Take(a)
+	ok, retryAfter := n.limiter.Take(a)
 	if ok {
 		return nil
 	}
-	return &refusal{code: http.StatusTooManyRequests, cause: causeLimit, after: after, account: a, why: "account is over its rate limit"}
+	return &refusal{code: http.StatusTooManyRequests, cause: causeLimit, retryAfter: retryAfter, account: a, reason: "account is over its rate limit"}
 }
 
-// nameOf is an account's name; empty for none.
-func nameOf(a *account.Account) account.Name {
+// accountName returns the account's name, or "" for nil.
+func accountName(a *account.Account) account.Name {
 	if a == nil {
 		return ""
 	}
--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -20,7 +20,7 @@
 	small = account.Account{Name: "small", Keys: []account.Digest{account.DigestOf("ks")}}
 )
 
-func book(t testing.TB, all ...account.Account) *account.Book {
+func newAccountBook(t testing.TB, all ...account.Account) *account.Book {
 	b, err := account.NewBook(all)
 	if err != nil {
 		t.Fatal(err)
@@ -30,17 +30,17 @@
 
 // accountMesh is a node without targets of its service and one with; callers
 // need a key of large or small.
-func accountMesh(t *testing.T) *mesh {
+func newAccountMesh(t *testing.T) *mesh {
 	m := newMesh(t, "entwurf", "archiv")
-	m.accounts = book(t, large, small)
-	m.tellAll(2)
+	m.accounts = newAccountBook(t, large, small)
+	m.updateAll(2)
 	return m
 }
 
 // A target trusts the account that its node names. Whatever a caller writes in
 // its place, or how, must not reach it, and neither must the key.
-func TestATargetIsToldWhoHoldsTheKey(t *testing.T) {
-	m := accountMesh(t)
+func TestTargetReceivesAccountOfKey(t *testing.T) {
+	m := newAccountMesh(t)
 	Convey("The holder, once, whatever the caller wrote", t, func() {
 		for _, c := range []struct {
 			header  http.Header
@@ -53,18 +53,18 @@
 			{http.Header{"authorization": {"Key ks"}, "aCCOUNT": {"large"}}, "small"},
 			{http.Header{"Authorization": {"Key ks"}, "Account": {"large"}, "Connection": {"account"}}, "small"},
 		} {
-			code, got := m.withHeader(t, m.vms[0], "/read/x", c.header)
+			code, got := m.sendWithHeader(t, m.vms[0], "/read/x", c.header)
 			So(code, ShouldEqual, http.StatusOK)
 			So(got["Account"], ShouldResemble, []string{c.account})
 			So(got, ShouldNotContainKey, "Authorization")
 		}
 	})
 	Convey("On a route that is open to all the key is kept back too", t, func() {
-		code, got := m.withHeader(t, m.vms[0], "/open/x", http.Header{"Authorization": {"Key ks"}})
+		code, got := m.sendWithHeader(t, m.vms[0], "/open/x", http.Header{"Authorization": {"Key ks"}})
 		So(code, ShouldEqual, http.StatusOK)
 		So(got["Account"], ShouldResemble, []string{"small"})
 		for _, auth := range [][]string{nil, {"Key no"}, {"Basic a2w="}} {
-			code, got = m.withHeader(t, m.vms[0], "/open/x", http.Header{"Authorization": auth, "Account": {"large"}})
+			code, got = m.sendWithHeader(t, m.vms[0], "/open/x", http.Header{"Authorization": auth, "Account": {"large"}})
 			So(code, ShouldEqual, http.StatusOK)
 			So(got, ShouldNotContainKey, "Account")
 			So(got, ShouldNotContainKey, "Authorization")
@@ -72,8 +72,8 @@
 	})
 	Convey("Where callers need no account, both are headers like any other", t, func() {
 		m.accounts = nil
-		m.tellAll(3)
-		code, got := m.withHeader(t, m.vms[0], "/read/x", http.Header{"Authorization": {"Key ks"}, "Account": {"large"}})
+		m.updateAll(3)
+		code, got := m.sendWithHeader(t, m.vms[0], "/read/x", http.Header{"Authorization": {"Key ks"}, "Account": {"large"}})
 		So(code, ShouldEqual, http.StatusOK)
 		So(got["Account"], ShouldResemble, []string{"large"})
 		So(got["Authorization"], ShouldResemble, []string{"Key ks"})
@@ -82,26 +82,26 @@
 
 // A request whose key no account holds must not run, and its caller is told so
 // for good; not while a newer version may hold it.
-func TestAnUnknownKeyIsNotLetIn(t *testing.T) {
-	m := accountMesh(t)
+func TestUnknownKeyIsRejected(t *testing.T) {
+	m := newAccountMesh(t)
 	n := m.vms[0]
 	unknown := [][]string{nil, {""}, {"Key"}, {"Key "}, {"kl"}, {"Bearer kl"}, {"Key no"}, {"Key kl,Key ks"}, {"Key kl", "Key kl"}}
 	Convey("401, and nothing runs", t, func() {
 		for _, auth := range unknown {
-			code, got := m.withHeader(t, n, "/read/x", http.Header{"Authorization": auth})
+			code, got := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": auth})
 			So(code, ShouldEqual, http.StatusUnauthorized)
 			So(got, ShouldBeNil)
 		}
 	})
 	Convey("A key that a newer version does not have is not taken any more, one that it adds is", t, func() {
-		code, _ := m.withHeader(t, n, "/read/x", http.Header{"Authorization": {"Key kl"}})
+		code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key kl"}})
 		So(code, ShouldEqual, http.StatusOK)
 		other := large
 		other.Keys = []account.Digest{account.DigestOf("kl2"), account.DigestOf("new")}
-		m.accounts = book(t, other, small)
-		m.tellAll(3)
+		m.accounts = newAccountBook(t, other, small)
+		m.updateAll(3)
 		for key, want := range map[string]int{"kl": http.StatusUnauthorized, "kl2": http.StatusOK, "new": http.StatusOK} {
-			code, _ := m.withHeader(t, n, "/read/x", http.Header{"Authorization": {"Key " + key}})
+			code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key " + key}})
 			So(code, ShouldEqual, want)
 		}
 	})
@@ -111,7 +111,7 @@
 		id, got := m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
-		So(m.vms[1].target.runs(id), ShouldEqual, 0)
+		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		_, got = m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key ks"})
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
@@ -119,18 +119,18 @@
 
 // A target's calls carry no key. They are let in for the request that runs;
 // nobody else's are.
-func TestCallsNeedNoKey(t *testing.T) {
-	m := accountMesh(t)
+func TestChildRequestsNeedNoKey(t *testing.T) {
+	m := newAccountMesh(t)
 	Convey("A call of a running request is served, and names no account", t, func() {
 		var inner reply
-		m.vms[1].target.on(func(w http.ResponseWriter, r *http.Request) {
+		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("Request-Id")
-			if _, isCall := parentID(rid(id)); !isCall {
+			if _, isCall := parentID(requestID(id)); !isCall {
 				_, inner = m.send(context.Background(), m.vms[1], http.MethodGet, "/read/x", "", map[string]string{"Request-Id": id + ".c1", "Account": "large"})
 			}
-			signed(w, r, http.StatusOK, r.Header.Get("Account"))
+			writeSigned(w, r, http.StatusOK, r.Header.Get("Account"))
 		})
-		code, _ := m.withHeader(t, m.vms[0], "/read/x", http.Header{"Authorization": {"Key ks"}})
+		code, _ := m.sendWithHeader(t, m.vms[0], "/read/x", http.Header{"Authorization": {"Key ks"}})
 		So(code, ShouldEqual, http.StatusOK)
 		So(inner.code, ShouldEqual, http.StatusOK)
 		So(inner.body, ShouldBeEmpty)
@@ -138,19 +138,19 @@
 	Convey("One of a request that is not known to run is not run, and may come back", t, func() {
 		id, got := m.send(context.Background(), m.vms[0], http.MethodGet, "/read/x", "", map[string]string{"Request-Id": "gone.c1"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
-		So(m.vms[1].target.runs(id), ShouldEqual, 0)
+		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		_, got = m.send(context.Background(), m.vms[0], http.MethodGet, "/read/x", "", map[string]string{"Request-Id": "gone.c2", "Authorization": "Key no"})
 		So(got.code, ShouldEqual, http.StatusUnauthorized)
 	})
 }
 
 // An account's rank goes before its route's.
-func TestAnAccountsRankGoesBeforeItsRoutes(t *testing.T) {
+func TestAccountRankPrecedesRouteRank(t *testing.T) {
 	routes, err := directory.NewRoutes(1, directory.Limits{}, testRoutes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	routes.Accounts = book(t, large, small)
+	routes.Accounts = newAccountBook(t, large, small)
 	rank := func(a *account.Account, route int) int {
 		r, of := routes.Rank(a, &testRoutes[route])
 		return admit.Squeeze(r, of)
@@ -175,7 +175,7 @@
 
 // withHeader sends a read with header fields as they stand, and returns what
 // its target got; nil if it did not run.
-func (m *mesh) withHeader(t testing.TB, v *vm, path string, h http.Header) (int, http.Header) {
+func (m *mesh) sendWithHeader(t testing.TB, v *vm, path string, h http.Header) (int, http.Header) {
 	id := "h" + time.Now().Format("150405.000000000")
 	id = id[:7] + id[8:]
 	req, err := http.NewRequest(http.MethodGet, "http://"+v.node.cfg.Callers+path, nil)
@@ -193,7 +193,7 @@
 	f := m.vms[1].target
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ran[id] == 0 {
+	if f.runsByID[id] == 0 {
 		return resp.StatusCode, nil
 	}
 	return resp.StatusCode, f.last.Header
@@ -202,12 +202,12 @@
 // An account sends more than it may. What is over is refused at the entry, with
 // when there will be room, and is told from a refusal for overload; what did not
 // run for another reason is not counted against it.
-func TestAnAccountOverItsLimitIsRefused(t *testing.T) {
+func TestAccountOverRateLimitIsRefused(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv")
 	n := m.vms[0]
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 4, Burst: 2}
-	m.accounts = book(t, limited, small)
-	m.tellAll(2)
+	m.accounts = newAccountBook(t, limited, small)
+	m.updateAll(2)
 	send := func(key string) (string, reply) {
 		return m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
 	}
@@ -224,7 +224,7 @@
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			So(err, ShouldBeNil)
 			So(after, ShouldBeBetween, 0, 5.1)
-			So(m.vms[1].target.runs(id), ShouldEqual, 0)
+			So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		}
 		So(ran, ShouldBeBetween, 1, 20)
 		So(refused, ShouldBeGreaterThan, 10)
@@ -232,8 +232,8 @@
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
 	Convey("What is refused for overload is given back", t, func() {
-		n.node.limiter.Keep(book(t, small)) // forgets what was taken
-		n.node.admission = nobody{}
+		n.node.limiter.Keep(newAccountBook(t, small)) // forgets what was taken
+		n.node.admission = admitNone{}
 		for range 40 {
 			_, got := send("k")
 			So(got.code, ShouldEqual, http.StatusServiceUnavailable)
@@ -246,11 +246,11 @@
 
 // Requests of one account come in at two nodes. Each must hear of what the other
 // let in, or both let in the whole limit.
-func TestNodesTellEachOtherWhatTheyLetIn(t *testing.T) {
+func TestNodesShareAccountUsage(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 40, Burst: 40}
-	m.accounts = book(t, limited)
-	m.tellAll(2)
+	m.accounts = newAccountBook(t, limited)
+	m.updateAll(2)
 	Convey("Together they let in what it may, and a little more", t, func() {
 		const sent = 500
 		ran, began := 0, time.Now()
--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -19,32 +19,32 @@
 
 type (
 	// benchKind is a kind of request that callers send in a benchmark.
-	benchKind struct {
+	benchRequest struct {
 		name, method, path string
 		body, answer       int // bytes
 		code               int // of its answer
 	}
 
 	// nobody admits no new request of the lower ranks.
-	nobody struct{}
+	admitNone struct{}
 )
 
 var (
-	benchRead    = benchKind{"get_1.5kB", "GET", "/read/leny950/2f", 0, 1500, 200}
-	benchPublish = benchKind{"put_6kB", "PUT", "/publish/leny950/2f", 300, 6000, 200}
-	benchRefused = benchKind{"get", "GET", "/read/leny950/2f", 0, 0, 503}
+	benchRead    = benchRequest{"get_1.5kB", "GET", "/read/leny950/2f", 0, 1500, 200}
+	benchPublish = benchRequest{"put_6kB", "PUT", "/publish/leny950/2f", 300, 6000, 200}
+	benchRefused = benchRequest{"get", "GET", "/read/leny950/2f", 0, 0, 503}
 )
 
-func (nobody) Threshold(string) call.Level { return 0 }
+func (admitNone) Threshold(string) call.Level { return 0 }
 
 // BenchmarkRequest is the cost of a request through two nodes to the target
 // beside the second, with callers and targets that do as little as they can.
 // All are in this process: the processor time is that of both nodes and the
 // kernel, and a little of the others'.
 func BenchmarkRequest(b *testing.B) {
-	for _, k := range []benchKind{benchRead, benchPublish} {
+	for _, k := range []benchRequest{benchRead, benchPublish} {
 		for _, callers := range []int{1, 50, 500} {
-			b.Run(fmt.Sprintf("%s/callers=%d", k.name, callers), func(b *testing.B) { benchMesh(b).load(b, k, callers) })
+			b.Run(fmt.Sprintf("%s/callers=%d", k.name, callers), func(b *testing.B) { benchMesh(b).runLoad(b, k, callers) })
 		}
 	}
 }
@@ -52,13 +52,13 @@
 // BenchmarkRefused is the cost of a request that is refused where it enters.
 func BenchmarkRefused(b *testing.B) {
 	m := benchMesh(b)
-	m.vms[0].node.admission = nobody{}
-	m.load(b, benchRefused, 50)
+	m.vms[0].node.admission = admitNone{}
+	m.runLoad(b, benchRefused, 50)
 }
 
 // benchMesh is two nodes, of which the second's target serves all requests.
 func benchMesh(b *testing.B) *mesh {
-	m := &mesh{t: b, port: freePort(b), serve: serveBare}
+	m := &mesh{t: b, port: freePort(b), serve: serveMinimal}
 	m.populate([]string{"entwurf", "archiv"})
 	for _, v := range m.vms {
 		v.node.gate.SetLimit(1000)
@@ -68,12 +68,12 @@
 }
 
 // load lets callers on the first VM send b.N requests.
-func (m *mesh) load(b *testing.B, k benchKind, callers int) {
+func (m *mesh) runLoad(b *testing.B, k benchRequest, callers int) {
 	var left, sent atomic.Int64
 	left.Store(int64(b.N))
 	b.ReportAllocs()
 	b.ResetTimer()
-	began := processorTime()
+	began := cpuTime()
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -86,7 +86,7 @@
 			in := bufio.NewReader(c)
 			for left.Add(-1) >= 0 {
 				id := "c" + strconv.Itoa(i) + "r" + strconv.FormatInt(sent.Add(1), 10)
-				if code, err := exchange(c, in, k, id); err != nil || code != k.code {
+				if code, err := roundTrip(c, in, k, id); err != nil || code != k.code {
 					b.Errorf("%d, %v", code, err)
 					return
 				}
@@ -94,11 +94,11 @@
 		})
 	}
 	wg.Wait()
-	b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
 // exchange sends a request as a caller does and reads its answer.
-func exchange(c net.Conn, in *bufio.Reader, k benchKind, id string) (code int, err error) {
+func roundTrip(c net.Conn, in *bufio.Reader, k benchRequest, id string) (code int, err error) {
 	head := k.method + " " + k.path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 5000\r\nAccept: */*\r\nUser-Agent: panel/1.0\r\n"
 	if k.body > 0 {
 		head += "Content-Length: " + strconv.Itoa(k.body) + "\r\n"
@@ -106,7 +106,7 @@
 	if _, err := io.WriteString(c, head+"\r\n"+strings.Repeat("b", k.body)); err != nil {
 		return 0, err
 	}
-	first, _, err := readBare(in)
+	first, _, err := readMessage(in)
 	if err != nil {
 		return 0, err
 	}
@@ -114,7 +114,7 @@
 }
 
 // serveBare answers as a target does, at once.
-func serveBare(l net.Listener, _ string) {
+func serveMinimal(l net.Listener, _ string) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -124,7 +124,7 @@
 			defer c.Close()
 			in := bufio.NewReader(c)
 			for {
-				first, id, err := readBare(in)
+				first, id, err := readMessage(in)
 				if err != nil {
 					return
 				}
@@ -140,7 +140,7 @@
 }
 
 // readBare reads a message and returns its first line and its id.
-func readBare(in *bufio.Reader) (first, id string, err error) {
+func readMessage(in *bufio.Reader) (first, id string, err error) {
 	size := 0
 	for {
 		line, err := in.ReadString('\n')
@@ -164,7 +164,7 @@
 	}
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		return 0
--- a/sidecar/body.go
+++ b/sidecar/body.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	// bodyDefault bounds one body until an operator's limit is known.
-	bodyDefault = 1 << 20
-	// onePiece bounds the memory that is taken for a body before it is there:
-	// a caller may promise more than it sends.
-	onePiece = 64 << 10
+	// defaultBodyLimit is the maximum body size in bytes if the routes set
+	// none.
+	defaultBodyLimit = 1 << 20
+	// maxInitialBuffer caps the buffer allocated from Content-Length alone,
+	// which a caller may overstate.
+	maxInitialBuffer = 64 << 10
 )
 
-// readBody reads a whole body within the operator's limit, the memory for all
-// bodies and the request's time: a caller that sends slowly, or stops, holds
-// its connection no longer than that.
-func (n *Node) readBody(w http.ResponseWriter, r *http.Request, limit int64, until time.Time) ([]byte, *refusal) {
+// readBody reads the request body, bounded by limit, by the memory for all
+// bodies and by deadline, so that a slow or stalled caller cannot hold its
+// connection any longer.
+func (n *Node) readBody(w http.ResponseWriter, r *http.Request, limit int64, deadline time.Time) ([]byte, *refusal) {
 	if r.ContentLength == 0 || r.Body == http.NoBody {
 		return nil, nil
 	}
 	if limit <= 0 {
-		limit = bodyDefault
+		limit = defaultBodyLimit
 	}
-	if most := n.tuning.Load().BodyBytes; most > 0 && n.bodies.Load()+max(r.ContentLength, 0) > most {
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeBody, after: comeBackLeaving, why: "no memory for the body"}
+	if maxTotal := n.tuning.Load().BodyBytes; maxTotal > 0 && n.heldBodyBytes.Load()+max(r.ContentLength, 0) > maxTotal {
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeBody, retryAfter: retryAfterUnavailable, reason: "out of memory for request bodies"}
 	}
-	conn := http.NewResponseController(w)
-	if err := conn.SetReadDeadline(until); err != nil {
+	ctrl := http.NewResponseController(w)
+	if err := ctrl.SetReadDeadline(deadline); err != nil {
 		n.log.WithError(err).Warn("body_unbounded_in_time")
 	}
 	var buf bytes.Buffer
-	buf.Grow(int(min(max(r.ContentLength, 0), limit, onePiece)))
+	buf.Grow(int(min(max(r.ContentLength, 0), limit, maxInitialBuffer)))
 	_, err := io.Copy(&buf, http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &refusal{code: http.StatusRequestEntityTooLarge, cause: causeBody, why: err.Error()}
+		return nil, &refusal{code: http.StatusRequestEntityTooLarge, cause: causeBody, reason: err.Error()}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, &refusal{code: http.StatusRequestTimeout, cause: causeBody, why: "body was not sent in time"}
+		return nil, &refusal{code: http.StatusRequestTimeout, cause: causeBody, reason: "request body was not received before the deadline"}
 	case err != nil:
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeBody, why: "body: " + err.Error()}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeBody, reason: "read body: " + err.Error()}
 	}
-	if err := conn.SetReadDeadline(time.Time{}); err != nil {
+	if err := ctrl.SetReadDeadline(time.Time{}); err != nil {
 		n.log.WithError(err).Warn("read_deadline_kept")
 	}
-	n.bodies.Add(int64(buf.Len()))
+	n.heldBodyBytes.Add(int64(buf.Len()))
 	return buf.Bytes(), nil
 }
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -16,37 +16,36 @@
 )
 
 const (
-	// deadlineDefault is taken for a request that says neither how long its
-	// caller waits nor has a route with a timeout.
-	deadlineDefault = 30 * time.Second
-	// comeBackNoRoutes is when to come back to a node that knows no routes
-	// yet: it has them within some hundred milliseconds of its start.
-	comeBackNoRoutes = 500 * time.Millisecond
-	// comeBackLeaving is when to come back to a node that is stopping; the
-	// caller's next request goes to another one by then.
-	comeBackLeaving = time.Second
+	// defaultTimeout applies if neither the request nor its route sets a
+	// timeout.
+	defaultTimeout = 30 * time.Second
+	// retryAfterNoRoutes is the Retry-After of a node that has no routes yet.
+	retryAfterNoRoutes = 500 * time.Millisecond
+	// retryAfterUnavailable is the Retry-After of a node that is shutting
+	// down or has no memory for a body.
+	retryAfterUnavailable = time.Second
 )
 
-// request is a caller's request on its way.
+// request is a caller's request in progress.
 type request struct {
 	call.Request
-	route    *directory.Route
-	deadline time.Time
-	entered  time.Time
-	kept     kept
-	account  *account.Account // whose key it carries; nil for none
-	rank     int
-	// turnBy is until when a new request may wait for its turn, at all
-	// instances together; zero for a call of a request that runs already.
-	turnBy time.Time
+	route      *directory.Route
+	deadline   time.Time
+	received   time.Time
+	quarantine quarantineState
+	account    *account.Account // authenticated by its key; nil for none
+	rank       int
+	// queueDeadline limits the time that a new request waits in queues, over
+	// all attempts; zero for child requests.
+	queueDeadline time.Time
 }
 
-// serveCaller answers one request of a caller on this VM, or of the local
+// serveCaller handles a request from a caller on this VM or from the local
 // target.
 func (n *Node) serveCaller(w http.ResponseWriter, r *http.Request) {
-	n.active.Add(1)
-	defer n.active.Add(-1)
-	if _, leaving := n.leavingSince(); leaving {
+	n.activeRequests.Add(1)
+	defer n.activeRequests.Add(-1)
+	if _, draining := n.drainingSince(); draining {
 		w.Header().Set("Connection", "close")
 	}
 	q, refusal := n.accept(w, r)
@@ -54,201 +53,205 @@
 		n.refuse(w, r, refusal)
 		return
 	}
-	defer n.bodies.Add(-int64(len(q.Body)))
+	defer n.heldBodyBytes.Add(-int64(len(q.Body)))
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	a := n.forward(ctx, q)
-	n.account(q, a, errors.Is(ctx.Err(), context.Canceled))
-	n.write(w, q, a)
+	n.recordOutcome(q, a, errors.Is(ctx.Err(), context.Canceled))
+	n.writeAnswer(w, q, a)
 }
 
-// account notes how a request ended; left says that its caller did not wait.
-func (n *Node) account(q *request, a call.Answer, left bool) {
-	took := time.Since(q.entered)
+// recordOutcome updates statistics and admission control with the result of a
+// request; canceled is set if the caller disconnected.
+func (n *Node) recordOutcome(q *request, a call.Answer, canceled bool) {
+	elapsed := time.Since(q.received)
 	if a.Status == call.NotRun {
 		n.limiter.Return(q.account)
 	}
-	n.stats.answered(q.route, q.Service, a.Status, took)
-	var scarce time.Duration
+	n.stats.observeRequest(q.route, q.Service, a.Status, elapsed)
+	var saturated time.Duration
 	if a.Load != nil {
-		scarce = a.Load.Scarce
+		saturated = a.Load.Scarce
 	}
 	ok := a.Status == call.OK
 	if ok {
-		n.usual.Took(q.route.Name, took)
+		n.totalTimes.Took(q.route.Name, elapsed)
 	}
 	if q.HTTP.Begun {
-		n.running.called(q.ID, !ok, scarce)
+		n.running.childEnded(q.ID, !ok, saturated)
 		return
 	}
-	if a.Status != call.NotRun && !left {
+	if a.Status != call.NotRun && !canceled {
 		n.prospects.Ended(q.route.Name, q.rank, ok)
 	}
-	if ok && scarce > 0 {
-		n.costs.Took(q.route.Name, q.route.Priority, scarce)
+	if ok && saturated > 0 {
+		n.costs.Took(q.route.Name, q.route.Priority, saturated)
 	}
 }
 
-// accept reads and checks a request; a refusal has run nothing.
+// accept validates a request, authenticates it and applies admission control.
+// A refused request has not been executed.
 func (n *Node) accept(w http.ResponseWriter, r *http.Request) (*request, *refusal) {
-	entered := time.Now()
+	received := time.Now()
 	routes := n.dir.View().Routes
 	if routes == nil {
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, after: comeBackNoRoutes, why: "no routes known yet"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no routes loaded yet"}
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	rt, err := routes.Match(r.Host, path)
 	if err != nil {
-		return nil, n.noRoute()
+		return nil, n.noRouteRefusal()
 	}
 	if r.Header.Get(n.cfg.Headers.RequestID) == "" {
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, why: n.cfg.Headers.RequestID + " is missing"}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: n.cfg.Headers.RequestID + " header is missing"}
 	}
-	left, err := n.timeLeft(r, rt)
+	timeout, err := n.requestTimeout(r, rt)
 	if err != nil {
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, why: err.Error()}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: err.Error()}
 	}
 	id := call.RequestID(r.Header.Get(n.cfg.Headers.RequestID))
-	from := n.origin(id, rt)
-	if !from.begun {
-		var no *refusal
-		if from.account, no = n.holder(r, routes, rt, id); no != nil {
-			return nil, no
+	origin := n.originOf(id, rt)
+	if !origin.child {
+		var refused *refusal
+		if origin.account, refused = n.authenticate(r, routes, rt, id); refused != nil {
+			return nil, refused
 		}
-		n.place(&from, routes, rt, id)
-		if no := n.withinLimit(from.account); no != nil {
-			return nil, no
+		n.assignLevel(&origin, routes, rt, id)
+		if refused := n.checkRateLimit(origin.account); refused != nil {
+			return nil, refused
 		}
-		if no := n.admitNew(rt, from.level, left); no != nil {
-			n.limiter.Return(from.account)
-			no.account = from.account
-			return nil, no
+		if refused := n.admitNew(rt, origin.level, timeout); refused != nil {
+			n.limiter.Return(origin.account)
+			refused.account = origin.account
+			return nil, refused
 		}
 	}
-	body, no := n.readBody(w, r, routes.Limits.BodyBytes, entered.Add(left))
-	if no != nil {
-		n.limiter.Return(from.account)
-		no.account = from.account
-		return nil, no
+	body, refused := n.readBody(w, r, routes.Limits.BodyBytes, received.Add(timeout))
+	if refused != nil {
+		n.limiter.Return(origin.account)
+		refused.account = origin.account
+		return nil, refused
 	}
-	q := &request{route: rt, entered: entered, deadline: entered.Add(left), account: from.account, rank: from.rank}
-	q.Request = call.Request{ID: id, Service: rt.Service(n.draw()), Operation: rt.Name, Body: body, HTTP: n.forTarget(r, routes, rt, from)}
-	q.kept = n.keptAs(&q.Request)
-	if !from.begun {
-		q.turnBy = entered.Add(n.patience(n.times(rt, left)))
+	q := &request{route: rt, received: received, deadline: received.Add(timeout), account: origin.account, rank: origin.rank}
+	q.Request = call.Request{ID: id, Service: rt.Service(n.draw()), Operation: rt.Name, Body: body, HTTP: n.targetRequest(r, routes, rt, origin)}
+	q.quarantine = n.quarantineStateOf(&q.Request)
+	if !origin.child {
+		q.queueDeadline = received.Add(n.queueWait(n.requestTimes(rt, timeout)))
 	}
 	return q, nil
 }
 
-// times is what is known of the time of a request by a route.
-func (n *Node) times(rt *directory.Route, left time.Duration) admit.Times {
-	return admit.Times{Left: left, Target: rt.TargetLatency, Usual: n.usual.Mean(rt.Name, 0)}
+// requestTimes returns the durations from which wait limits are derived.
+func (n *Node) requestTimes(rt *directory.Route, remaining time.Duration) admit.Times {
+	return admit.Times{Left: remaining, Target: rt.TargetLatency, Usual: n.totalTimes.Mean(rt.Name, 0)}
 }
 
-// forTarget is the request as its target is to get it.
-func (n *Node) forTarget(r *http.Request, routes *directory.Routes, rt *directory.Route, from origin) *call.HTTPRequest {
-	fields := n.withAccount(n.fields(r.Header, routes.Accounts != nil), from.account)
+// targetRequest returns the request to be forwarded to the target.
+func (n *Node) targetRequest(r *http.Request, routes *directory.Routes, rt *directory.Route, origin requestOrigin) *call.HTTPRequest {
+	fields := n.withAccountHeader(n.forwardedFields(r.Header, routes.Accounts != nil), origin.account)
 	return &call.HTTPRequest{Method: r.Method, Host: r.Host, URI: r.RequestURI, Header: fields,
-		Caller: n.cfg.Service, Level: from.level, Begun: from.begun, Repeat: from.repeat, Idempotent: rt.Idempotent}
+		Caller: n.cfg.Service, Level: origin.level, Begun: origin.child, Repeat: origin.retry, Idempotent: rt.Idempotent}
 }
 
-// origin says what a request comes from.
-type origin struct {
-	level  call.Level
-	begun  bool // a call of a request that runs at the local target
-	repeat bool // and that request is a repeat
-	// account is whose key a new request carries; nil for none.
+// requestOrigin describes where a request comes from.
+type requestOrigin struct {
+	level call.Level
+	child bool // sent by the local target while it executes another request
+	retry bool // the parent request is a retry
+	// account is the authenticated account of a new request; nil for none.
 	account *account.Account
 	rank    int // of a new request
 }
 
-// origin finds out whether a request is a call of one that runs, and has the
-// level of that one then.
-func (n *Node) origin(id call.RequestID, rt *directory.Route) origin {
-	p, ok := n.running.calling(id)
+// originOf looks up the parent of a request. A child request inherits the
+// level of its parent.
+func (n *Node) originOf(id call.RequestID, rt *directory.Route) requestOrigin {
+	parent, ok := n.running.childStarted(id)
 	if !ok {
-		return origin{}
+		return requestOrigin{}
 	}
-	n.board.Called(p.route, rt.Name)
-	return origin{level: p.level, begun: true, repeat: p.repeat}
+	n.thresholds.Called(parent.route, rt.Name)
+	return requestOrigin{level: parent.level, child: true, retry: parent.retry}
 }
 
-// place gives a new request its rank and level.
-func (n *Node) place(from *origin, routes *directory.Routes, rt *directory.Route, id call.RequestID) {
-	rank, of := routes.Rank(from.account, rt)
-	from.rank = admit.Squeeze(rank, of)
-	from.level = n.levels.Level(admit.Kind{Route: rt.Name, Priority: rt.Priority, Rank: from.rank}, id)
-	n.board.See(from.level)
+// assignLevel sets the rank and admission level of a new request.
+func (n *Node) assignLevel(origin *requestOrigin, routes *directory.Routes, rt *directory.Route, id call.RequestID) {
+	rank, total := routes.Rank(origin.account, rt)
+	origin.rank = admit.Squeeze(rank, total)
+	origin.level = n.levels.Level(admit.Kind{Route: rt.Name, Priority: rt.Priority, Rank: origin.rank}, id)
+	n.thresholds.See(origin.level)
 }
 
-// admitNew refuses a new request that the node will not see through, or that
-// some target on its way is too busy for: it would run in part, for nothing,
-// and take room from those that can be done.
-func (n *Node) admitNew(rt *directory.Route, level call.Level, left time.Duration) *refusal {
-	if since, ok := n.leavingSince(); ok && since > n.cfg.Grace*refuseNum/refuseDen {
-		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, after: comeBackLeaving, why: "node is leaving"}
+// admitNew refuses a new request that may outlast the shutdown or whose level
+// exceeds the threshold of a target on its path. Refusing it here avoids
+// partial work that would be discarded.
+func (n *Node) admitNew(rt *directory.Route, level call.Level, remaining time.Duration) *refusal {
+	if since, ok := n.drainingSince(); ok && since > n.cfg.Grace*refuseNewNum/refuseNewDen {
+		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, retryAfter: retryAfterUnavailable, reason: "node is shutting down"}
 	}
-	if up := n.admission.Threshold(rt.Name); level > up {
-		return &refusal{code: http.StatusServiceUnavailable, cause: causeOverload, after: n.comeBack(n.times(rt, left)),
-			why: "overload or no prospects: level " + strconv.Itoa(int(level)) + " is over " + strconv.Itoa(int(up))}
+	if threshold := n.admission.Threshold(rt.Name); level > threshold {
+		return &refusal{code: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: n.retryAfter(n.requestTimes(rt, remaining)),
+			reason: "overloaded or failing route: level " + strconv.Itoa(int(level)) + " exceeds threshold " + strconv.Itoa(int(threshold))}
 	}
 	return nil
 }
 
-// noRoute refuses a request that no route matches. While the source of the
-// routes is away a newer version may have the route, so that is no final
-// answer.
-func (n *Node) noRoute() *refusal {
+// noRouteRefusal returns 404, or 503 while the directory source is
+// unavailable, because a newer version may contain the route.
+func (n *Node) noRouteRefusal() *refusal {
 	if n.dir.SourceAway() {
-		return &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, after: comeBackNoRoutes, why: "no route in a version that may be old"}
+		return &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no route matches; the routes may be outdated"}
 	}
-	return &refusal{code: http.StatusNotFound, cause: causeNoRoute, why: directory.ErrNoRoute.Error()}
+	return &refusal{code: http.StatusNotFound, cause: causeNoRoute, reason: directory.ErrNoRoute.Error()}
 }
 
-// timeLeft returns how long the request may take: as long as its caller
-// waits, within the route's timeout.
-func (n *Node) timeLeft(r *http.Request, rt *directory.Route) (time.Duration, error) {
-	left := deadlineDefault
+// requestTimeout returns the smaller of the route's timeout and the time for
+// which the caller waits.
+func (n *Node) requestTimeout(r *http.Request, rt *directory.Route) (time.Duration, error) {
+	timeout := defaultTimeout
 	if rt.Timeout > 0 {
-		left = rt.Timeout
+		timeout = rt.Timeout
 	}
 	v := r.Header.Get(n.cfg.Headers.Deadline)
 	if v == "" {
-		return left, nil
+		return timeout, nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || ms < 0 {
-		return 0, errors.New(n.cfg.Headers.Deadline + " is not a number of milliseconds: " + strconv.Quote(v))
+		return 0, errors.New(n.cfg.Headers.Deadline + " is not a non-negative number of milliseconds: " + strconv.Quote(v))
 	}
-	return min(left, time.Duration(ms)*time.Millisecond), nil
+	return min(timeout, time.Duration(ms)*time.Millisecond), nil
 }
 
-// draw returns evenly spread numbers in [0,1) for split routes: multiples of
-// the golden ratio, which keep every share near its weight over short times.
+// draw returns the next number in [0,1) of a low-discrepancy sequence
+// (multiples of the golden ratio), which keeps the shares of split routes
+// close to their weights over short periods.
 func (n *Node) draw() float64 {
 	const golden = 0.6180339887498949
 	x := float64(n.draws.Add(1)) * golden
 	return x - float64(int64(x))
 }
 
-// refusal is an answer of the node's own to a request that has run nowhere.
+// refusal is an error response of the node itself to a request that has not
+// been executed.
 type refusal struct {
-	code  int
-	cause cause
-	after time.Duration // when to come back; 0 for no use in it
-	why   string
-	// account is whose request it was; nil for none, or where it is not known.
+	code       int
+	cause      cause
+	retryAfter time.Duration // 0 omits the Retry-After header
+	reason     string
+	// account is the account of the request; nil if there is none or it is
+	// unknown.
 	account *account.Account
 }
 
-func (n *Node) refuse(w http.ResponseWriter, r *http.Request, f *refusal) {
+func (n *Node) refuse(w http.ResponseWriter, r *http.Request, ref *refusal) {
 	id := r.Header.Get(n.cfg.Headers.RequestID)
-	n.stats.refused(f.cause, f.account)
-	if f.code == http.StatusUnauthorized {
+	n.stats.countRefusal(ref.cause, ref.account)
+	if ref.code == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", n.cfg.Headers.KeyScheme)
 	}
-	n.note.Note("request_refused", func() log.Fields {
-		return log.Fields{"id": id, "code": f.code, "cause": f.cause, "account": nameOf(f.account), "why": f.why, "come_back_ms": f.after.Milliseconds(), "routes": n.version(), "path": r.URL.Path}
+	n.decisions.Note("request_refused", func() log.Fields {
+		return log.Fields{"id": id, "code": ref.code, "cause": ref.cause, "account": accountName(ref.account), "why": ref.reason, "come_back_ms": ref.retryAfter.Milliseconds(), "routes": n.routesVersion(), "path": r.URL.Path}
 	})
-	writeOwn(w, n.cfg.Headers, call.RequestID(id), f.code, f.after, f.why)
+	writeError(w, n.cfg.Headers, call.RequestID(id), ref.code, ref.retryAfter, ref.reason)
 }
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -16,135 +16,136 @@
 )
 
 const (
-	// sinceOperation asks a node for what it knows beyond a revision; the
-	// body is a question, the answer's a directory.Delta.
+	// sinceOperation requests directory changes after a revision. The request
+	// body is a deltaRequest, the response body a directory.Delta.
 	sinceOperation = "directory.since"
-	// catchUpAfter is how long a node that hears of a newer revision waits
-	// for its reader to tell it: all nodes hear of a change within
-	// milliseconds, and asking each other then would be for nothing.
-	catchUpAfter = 300 * time.Millisecond
-	// answerTime is how long the answer to a question may take beyond the
-	// time that it may wait: a list of a thousand instances is encoded and
-	// decoded in some milliseconds, on a busy VM in some tens.
-	answerTime = 500 * time.Millisecond
-	// mostWait bounds how long a node holds another one's question.
-	mostWait = 5 * time.Second
+	// catchUpDelay is how long a node that learns of a newer revision waits
+	// for the change to arrive from its reader, so that nodes do not all
+	// query each other on every change.
+	catchUpDelay = 300 * time.Millisecond
+	// answerTimeout is the time allowed for a node operation, in addition to
+	// any long-poll wait.
+	answerTimeout = 500 * time.Millisecond
+	// maxPollWait bounds the long-poll wait of another node's request.
+	maxPollWait = 5 * time.Second
 )
 
-// errNothingKnown is returned for a node that has not read a list yet, or is
-// stopping.
-var errNothingKnown = eris.New("node has nothing to tell")
+// errNoDirectory is returned by a node that has not loaded the directory yet
+// or is shutting down.
+var errNoDirectory = eris.New("node has no directory yet or is shutting down")
 
-// question is what a node asks another about the directory.
-type question struct {
+// deltaRequest is the body of a directory.since operation. The order of its
+// fields is the wire format.
+type deltaRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	After    directory.Revision
-	Wait     time.Duration // for something newer
-	// Told is how much of the other's book of quarantined requests was told
-	// before; nil from a node that keeps none.
+	Wait     time.Duration // long-poll limit
+	// Told is the position up to which the sender has received the peer's
+	// quarantine records; nil from a node that keeps none.
 	Told *quarantine.Cursor
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (q *question) DecodeMsgpack(d *msgpack.Decoder) error {
-	*q = question{}
-	return message.Decode(d, (*uint64)(&q.After), &q.Wait, &q.Told)
+func (req *deltaRequest) DecodeMsgpack(d *msgpack.Decoder) error {
+	*req = deltaRequest{}
+	return message.Decode(d, (*uint64)(&req.After), &req.Wait, &req.Told)
 }
 
-// heardRevision is told the revision that a peer's answer carries. A source
-// that lost a change, or a reader that it does not answer while it answers
-// others, shows as a peer that stays ahead.
-func (n *Node) heardRevision(p wire.Peer, rev uint64) {
-	if directory.Revision(rev) <= n.dir.Revision() || !n.catching.CompareAndSwap(false, true) {
+// onPeerRevision handles the directory revision in a peer's response. If the
+// peer stays ahead of this node, the missing changes are fetched from it.
+// This covers a source that loses a change and a reader that cannot reach the
+// source.
+func (n *Node) onPeerRevision(p wire.Peer, rev uint64) {
+	if directory.Revision(rev) <= n.dir.Revision() || !n.catchingUp.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer n.catching.Store(false)
+		defer n.catchingUp.Store(false)
 		select {
 		case <-n.stop:
 			return
-		case <-time.After(catchUpAfter):
+		case <-time.After(catchUpDelay):
 		}
 		from := n.dir.Revision()
 		if directory.Revision(rev) <= from {
 			return
 		}
-		x, err := n.Since(context.Background(), membership.Addr(p.Addr), from, 0)
+		delta, err := n.Since(context.Background(), membership.Addr(p.Addr), from, 0)
 		if err != nil {
-			n.note.Note("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
+			n.decisions.Note("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
 			return
 		}
-		if n.dir.Learn(x) {
-			n.note.Note("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": x.Revision} })
+		if n.dir.Learn(delta) {
+			n.decisions.Note("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
 		}
 	}()
 }
 
 // Since implements membership.Peers.
-func (n *Node) Since(ctx context.Context, at membership.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
+func (n *Node) Since(ctx context.Context, addr membership.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
 	var none directory.Delta
-	body, err := msgpack.Marshal(question{After: after, Wait: wait, Told: n.heard.from(at)})
+	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Told: n.peerCursors.get(addr)})
 	if err != nil {
-		return none, eris.Wrap(err, "encode question")
+		return none, eris.Wrap(err, "encode directory request")
 	}
-	conn, err := n.dial(ctx, wire.Peer{Addr: string(at)})
+	conn, err := n.dial(ctx, wire.Peer{Addr: string(addr)})
 	if err != nil {
 		return none, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerTime)
+	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	a, err := conn.Call(ctx, call.Request{ID: sinceOperation, Operation: sinceOperation, Body: body, Remaining: wait + answerTime}, n.revision())
+	a, err := conn.Call(ctx, call.Request{ID: sinceOperation, Operation: sinceOperation, Body: body, Remaining: wait + answerTimeout}, n.revision())
 	if err != nil {
 		return none, err
 	}
 	if a.Status != call.OK {
-		return none, eris.Wrap(errNothingKnown, a.Reason)
+		return none, eris.Wrap(errNoDirectory, a.Reason)
 	}
-	n.hear(at, a.News)
-	x, err := directory.Decode(a.Body)
+	n.applyUpdate(addr, a.News)
+	delta, err := directory.Decode(a.Body)
 	if err != nil {
-		n.stats.misread()
+		n.stats.countDecodeError()
 	}
-	return x, err
+	return delta, err
 }
 
-// dial returns the connection to a peer, for a question of this node's own.
+// dial returns a connection to a peer for a node operation.
 func (n *Node) dial(ctx context.Context, p wire.Peer) (*wire.Conn, error) {
-	return n.peers.GetWithin(ctx, p, dialPatience)
+	return n.peers.GetWithin(ctx, p, dialWait)
 }
 
-// serveSince answers another node's question about the directory, at once
-// when this node stops.
+// serveSince handles sinceOperation. A pending long poll returns immediately
+// when the node begins to shut down.
 func (n *Node) serveSince(ctx context.Context, r call.Request) call.Answer {
-	var q question
-	if err := msgpack.Unmarshal(r.Body, &q); err != nil {
-		return n.notUnderstood(r, err)
+	var req deltaRequest
+	if err := msgpack.Unmarshal(r.Body, &req); err != nil {
+		return n.malformedAnswer(r, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(n.staying, cancel)()
+	defer context.AfterFunc(n.untilDrain, cancel)()
 	n.member.Wanted()
-	if q.Told != nil {
-		go cancelOn(ctx, n.book.News(*q.Told), cancel)
+	if req.Told != nil {
+		go cancelOnUpdate(ctx, n.quarantine.News(*req.Told), cancel)
 	}
-	x := n.dir.Await(ctx, q.After, min(q.Wait, mostWait))
-	if _, leaving := n.leavingSince(); leaving || !n.dir.Listed() {
-		return call.Refuse(r, errNothingKnown.Error(), 0)
+	delta := n.dir.Await(ctx, req.After, min(req.Wait, maxPollWait))
+	if _, draining := n.drainingSince(); draining || !n.dir.Listed() {
+		return call.Refuse(r, errNoDirectory.Error(), 0)
 	}
-	b, err := directory.Encode(x)
+	b, err := directory.Encode(delta)
 	if err != nil {
 		n.log.WithError(err).Error("delta_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
 	}
-	return call.Answer{ID: r.ID, Status: call.OK, Body: b, News: n.newsFor(q.Told)}
+	return call.Answer{ID: r.ID, Status: call.OK, Body: b, News: n.encodeUpdate(req.Told)}
 }
 
-// notUnderstood answers a node's question that cannot be decoded; nothing is
-// changed by it.
-func (n *Node) notUnderstood(r call.Request, err error) call.Answer {
-	n.stats.misread()
-	n.note.Note("question_not_understood", func() log.Fields {
+// malformedAnswer returns the response to an operation whose body cannot be
+// decoded.
+func (n *Node) malformedAnswer(r call.Request, err error) call.Answer {
+	n.stats.countDecodeError()
+	n.decisions.Note("question_not_understood", func() log.Fields {
 		return log.Fields{"operation": r.Operation, "error": err.Error()}
 	})
-	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "not understood: " + err.Error()}
+	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "decode request: " + err.Error()}
 }
--- a/sidecar/catchup_test.go
+++ b/sidecar/catchup_test.go
@@ -17,7 +17,7 @@
 
 // One node hears of a change, and another asks it for what it knows beyond
 // its own: the change comes over the connection that their requests use.
-func TestANodeTellsAnotherWhatChanged(t *testing.T) {
+func TestSinceReturnsPeerChanges(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	Convey("As soon as it knows", t, func() {
 		got := make(chan directory.Delta, 1)
@@ -41,7 +41,7 @@
 
 // A node is told to stop while others wait at it for a change. Holding their
 // questions would hold up its end, and they would learn nothing meanwhile.
-func TestAStoppingNodeSendsThoseThatAskAway(t *testing.T) {
+func TestDrainingNodeReleasesLongPolls(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	Convey("At once", t, func() {
 		ended := make(chan error, 1)
@@ -59,7 +59,7 @@
 
 // Another node's question cannot be decoded: it runs another version, or the
 // bytes are not its own. Nothing changes, and an operator sees it counted.
-func TestAQuestionThatCannotBeReadChangesNothing(t *testing.T) {
+func TestUndecodableOperationIsCounted(t *testing.T) {
 	m := newMesh(t, "archiv")
 	n := m.vms[0].node
 	Convey("It is refused and counted", t, func() {
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -13,7 +13,7 @@
 // The target two calls below is short of room. Only the node at which
 // requests enter can favour those that take little of it, and it sees neither
 // the target nor the calls: what they took comes back with the answers.
-func TestTheSlotTimeOfCallsIsToldWhereTheRequestEntered(t *testing.T) {
+func TestChildSlotTimeIsReportedToEntryNode(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv", "versand")
 	Convey("A read's cost is the time of its calls at the full target", t, func() {
 		full := m.vms[2].node
@@ -21,16 +21,16 @@
 			full.meter.Arrive(2*admit.Parts, time.Minute, 0)
 			time.Sleep(10 * time.Millisecond)
 		}
-		m.vms[2].target.on(func(w http.ResponseWriter, r *http.Request) {
+		m.vms[2].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(20 * time.Millisecond)
-			signed(w, r, http.StatusOK, "")
+			writeSigned(w, r, http.StatusOK, "")
 		})
-		m.vms[1].target.on(func(w http.ResponseWriter, r *http.Request) {
+		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			for _, call := range []string{".c1", ".c2"} {
 				m.send(context.Background(), m.vms[1], http.MethodGet, "/lookup/x", "", map[string]string{"Request-Id": r.Header.Get("Request-Id") + call})
 			}
 			time.Sleep(100 * time.Millisecond)
-			signed(w, r, http.StatusOK, "")
+			writeSigned(w, r, http.StatusOK, "")
 		})
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusOK)
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -1,5 +1,5 @@
-// Package sidecar is the node beside one target VM for callers and targets
-// that speak plain HTTP: it takes their requests, routes them by host and
-// path to the node beside an instance of the service, and lets through to
-// its own target what that can do. A Node keeps nothing beyond its process.
+// Package sidecar implements the HTTP proxy that runs next to each target VM.
+// It accepts requests from local callers, routes them by host and path to the
+// sidecar of an instance of the service, and applies admission control to its
+// own target. A Node keeps no persistent state.
 package sidecar
--- a/sidecar/fake_test.go
+++ b/sidecar/fake_test.go
@@ -30,12 +30,12 @@
 type (
 	// mesh is a few nodes on loopback addresses, each with a fake target.
 	mesh struct {
-		t     testing.TB
-		port  int // of every node's peer listener
-		vms   []*vm
-		ids   atomic.Int64
-		until []func()
-		seeds []string // for nodes started from now on
+		t        testing.TB
+		port     int // of every node's peer listener
+		vms      []*vm
+		ids      atomic.Int64
+		cleanups []func()
+		seeds    []string // for nodes started from now on
 		// source is for the same; without one, nodes ask nobody either.
 		source directory.Source
 		// serve answers as targets in place of fakeTarget.
@@ -45,7 +45,7 @@
 	}
 
 	// quietSource has nothing to tell.
-	quietSource struct{}
+	emptySource struct{}
 
 	// vm is one node and its fake target.
 	vm struct {
@@ -55,36 +55,36 @@
 		ip     string
 		self   directory.Instance
 		server *http.Server // of target
-		ended  chan error
+		served chan error
 	}
 
 	// fakeTarget answers as an instance does and counts what it ran.
 	fakeTarget struct {
-		id     string
-		health atomic.Int64 // code of its health check; 0 for none
-		handle atomic.Pointer[http.HandlerFunc]
-		mu     sync.Mutex
-		ran    map[string]int
-		last   *http.Request
-		body   string
+		id       string
+		health   atomic.Int64 // code of its health check; 0 for none
+		handle   atomic.Pointer[http.HandlerFunc]
+		mu       sync.Mutex
+		runsByID map[string]int
+		last     *http.Request
+		body     string
 	}
 )
 
-func (quietSource) Load(context.Context) (directory.Snapshot, error) {
+func (emptySource) Load(context.Context) (directory.Snapshot, error) {
 	return directory.Snapshot{}, errNoSource
 }
 
-func (quietSource) Watch(ctx context.Context, after directory.Revision, wait time.Duration) ([]directory.Change, directory.Revision, error) {
+func (emptySource) Watch(ctx context.Context, after directory.Revision, wait time.Duration) ([]directory.Change, directory.Revision, error) {
 	directory.Pause(ctx, wait)
 	return nil, after, ctx.Err()
 }
 
-func (quietSource) Listed(context.Context, directory.InstanceID) (bool, error) {
+func (emptySource) Listed(context.Context, directory.InstanceID) (bool, error) {
 	return false, errNoSource
 }
 
 // signed answers a request as a target that ran it.
-func signed(w http.ResponseWriter, r *http.Request, code int, body string) {
+func writeSigned(w http.ResponseWriter, r *http.Request, code int, body string) {
 	w.Header().Set("Signature", "s")
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	w.WriteHeader(code)
@@ -107,22 +107,22 @@
 		return
 	}
 	f.mu.Lock()
-	f.ran[r.Header.Get("Request-Id")]++
+	f.runsByID[r.Header.Get("Request-Id")]++
 	f.last, f.body = r, string(body)
 	f.mu.Unlock()
 	if h := f.handle.Load(); h != nil {
 		(*h)(w, r)
 		return
 	}
-	signed(w, r, http.StatusOK, "answer of "+f.id)
+	writeSigned(w, r, http.StatusOK, "answer of "+f.id)
 }
 
-func (f *fakeTarget) on(h http.HandlerFunc) { f.handle.Store(&h) }
+func (f *fakeTarget) handleWith(h http.HandlerFunc) { f.handle.Store(&h) }
 
-func (f *fakeTarget) runs(id string) int {
+func (f *fakeTarget) runCount(id string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ran[id]
+	return f.runsByID[id]
 }
 
 func listenOn(t testing.TB, ip string) net.Listener {
@@ -179,21 +179,21 @@
 	for i, service := range services {
 		m.vms = append(m.vms, m.start(fmt.Sprintf("127.0.0.%d", i+2), service))
 	}
-	m.tellAll(1)
+	m.updateAll(1)
 	m.t.Cleanup(m.stop)
 	return m
 }
 
 func (m *mesh) start(ip, service string) *vm {
-	v := &vm{ip: ip, target: &fakeTarget{id: "i-" + ip, ran: map[string]int{}}, ended: make(chan error, 1)}
+	v := &vm{ip: ip, target: &fakeTarget{id: "i-" + ip, runsByID: map[string]int{}}, served: make(chan error, 1)}
 	l := listenOn(m.t, ip)
 	v.self = directory.Instance{ID: directory.InstanceID(v.target.id), Service: service, DC: "nord", Addr: l.Addr().String(), Slots: 20, Revision: 1}
 	if m.serve != nil {
 		go m.serve(l, v.target.id)
-		m.until = append(m.until, func() { l.Close() })
+		m.cleanups = append(m.cleanups, func() { l.Close() })
 	} else {
 		v.serve(l)
-		m.until = append(m.until, v.crash)
+		m.cleanups = append(m.cleanups, v.stopTarget)
 	}
 	m.run(v)
 	return v
@@ -207,7 +207,7 @@
 
 // crash ends v's target: nothing listens any more, and all its connections
 // break.
-func (v *vm) crash() { v.server.Close() }
+func (v *vm) stopTarget() { v.server.Close() }
 
 // run starts a node beside v's target.
 func (m *mesh) run(v *vm) {
@@ -220,7 +220,7 @@
 		m.t.Fatal(err)
 	}
 	v.node = n
-	go func() { v.ended <- n.Serve() }()
+	go func() { v.served <- n.Serve() }()
 	m.awaitListening(n.cfg.Callers)
 	m.awaitListening(n.cfg.Ready)
 }
@@ -238,7 +238,7 @@
 }
 
 // tellAll gives every node the test routes in a version and all instances.
-func (m *mesh) tellAll(version callgraph.Version) {
+func (m *mesh) updateAll(version callgraph.Version) {
 	r, err := directory.NewRoutes(version, directory.Limits{BodyBytes: 1000}, testRoutes)
 	if err != nil {
 		m.t.Fatal(err)
@@ -256,14 +256,14 @@
 
 func (m *mesh) stop() {
 	for _, v := range m.vms {
-		if _, leaving := v.node.leavingSince(); !leaving {
+		if _, draining := v.node.drainingSince(); !draining {
 			close(v.node.stop)
-			v.node.callers.Close()
-			v.node.wire.CloseConns()
+			v.node.callerServer.Close()
+			v.node.peerServer.CloseConns()
 			v.node.peers.CloseAll()
 		}
 	}
-	for _, f := range m.until {
+	for _, f := range m.cleanups {
 		f()
 	}
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -14,123 +14,124 @@
 )
 
 const (
-	// maxPicks bounds how many nodes are asked for one request; asking one
-	// that refuses costs a few milliseconds and runs nothing.
-	maxPicks = 4
-	// comeBackNone is when to come back to a service without instances.
-	comeBackNone = time.Second
-	// peerMargin is how much sooner than here a request's time ends at the
-	// node beside its instance: that node knows whether the request has run,
-	// and its answer is to be here before this node must say it cannot know.
+	// maxAttempts bounds the number of nodes tried for one request.
+	maxAttempts = 4
+	// retryAfterNoInstance is the Retry-After for a service without
+	// instances.
+	retryAfterNoInstance = time.Second
+	// peerMargin is how much earlier a request's deadline is at the node of
+	// its instance. That node knows whether the request was executed, and its
+	// response must arrive before the local deadline.
 	peerMargin = 15 * time.Millisecond
-	// dialPatience is how long a request waits for a connection to a peer; it
-	// is opened all the same, for the next. Opening one takes a round trip
-	// of a few milliseconds, and a peer that is cut off would take it all.
-	dialPatience = 250 * time.Millisecond
-	// leastTime is what must be left for another try to be worth sending.
-	leastTime = 20 * time.Millisecond
-	// noPatience lets a request into a target only if there is room at once.
-	noPatience = time.Millisecond
+	// dialWait is how long a request waits for a connection to a peer.
+	// Dialing continues after it, for later requests.
+	dialWait = 250 * time.Millisecond
+	// minRetryTime is the minimum time to the deadline for a retry.
+	minRetryTime = 20 * time.Millisecond
+	// minQueueWait admits a request only if a slot is free immediately.
+	minQueueWait = time.Millisecond
 )
 
-// tries is what became of the tries of one request so far.
-type tries struct {
-	asked       []directory.InstanceID
-	unreachable int  // of those asked
-	reached     int  // instances that were handed the request, or may have been
-	ran         bool // some try was not refused
+// attempts tracks the attempts made for one request.
+type attempts struct {
+	tried       []directory.InstanceID
+	unreachable int  // nodes among tried
+	reached     int  // instances that received the request, or may have
+	mayHaveRun  bool // some attempt was not refused
 }
 
-// forward sends a request to instances of its service until one gives a
-// final answer. ctx ends at the request's deadline or when its caller leaves.
+// forward sends a request to instances of its service until one returns a
+// final answer. ctx ends at the request's deadline or when its caller
+// disconnects.
 func (n *Node) forward(ctx context.Context, q *request) call.Answer {
-	if q.kept.stage == quarantine.Quarantined {
-		n.stats.refused(causeQuarantine, q.account)
-		return n.hold(q.Request, q.kept)
+	if q.quarantine.stage == quarantine.Quarantined {
+		n.stats.countRefusal(causeQuarantine, q.account)
+		return n.refuseHeld(q.Request, q.quarantine)
 	}
 	if q.HTTP.Repeat {
-		n.window(q.Service).Inherit()
+		n.retryBudget(q.Service).Inherit()
 	} else {
-		n.window(q.Service).First()
+		n.retryBudget(q.Service).First()
 	}
-	var t tries
-	last := call.Refuse(q.Request, "no instance of "+q.Service, comeBackNone)
-	for range maxPicks {
-		in, ok := n.balancer.Pick(n.ask(q, t.asked))
+	var att attempts
+	last := call.Refuse(q.Request, "no available instance of "+q.Service, retryAfterNoInstance)
+	for range maxAttempts {
+		in, ok := n.balancer.Pick(n.pickCriteria(q, att.tried))
 		if !ok {
 			break
 		}
-		t.asked = append(t.asked, in.ID)
-		last = n.try(ctx, q, in, &t)
-		if !n.again(ctx, q, last, &t) {
+		att.tried = append(att.tried, in.ID)
+		last = n.attempt(ctx, q, in, &att)
+		if !n.allowRetry(ctx, q, last, &att) {
 			break
 		}
 	}
-	if t.ran && last.Status == call.NotRun {
-		// A later try was refused, but an earlier one may have run.
-		last = call.Answer{ID: q.ID, Status: call.Unknown, Reason: "an earlier try may have run; the last was refused: " + last.Reason}
+	if att.mayHaveRun && last.Status == call.NotRun {
+		// The last attempt was refused, but an earlier one may have been
+		// executed.
+		last = call.Answer{ID: q.ID, Status: call.Unknown, Reason: "an earlier attempt may have been executed; the last was refused: " + last.Reason}
 	}
-	if t.unreachable == len(t.asked) && n.stage(q.kept) == quarantine.Free {
-		// Nobody can serve this route from here. Requests that would call on
-		// it are refused where they enter, before their work is begun.
-		n.board.Unreachable(q.route.Name, q.Service)
+	if att.unreachable == len(att.tried) && n.stage(q.quarantine) == quarantine.Free {
+		// No instance is reachable from here. Requests that depend on this
+		// route are then refused at the entry node, before they start.
+		n.thresholds.Unreachable(q.route.Name, q.Service)
 	}
 	if last.Status == call.NotRun && last.RetryAfter == 0 {
-		last.RetryAfter = n.comeBack(n.times(q.route, time.Until(q.deadline)))
+		last.RetryAfter = n.retryAfter(n.requestTimes(q.route, time.Until(q.deadline)))
 	}
 	return last
 }
 
-// ask is what the balancer is to know of a request. While something on the
-// request's way is overloaded, the speed of instances does not count for
-// actions: their calls are made from where they are served, and would all
-// fall on what is near the fastest instance.
-func (n *Node) ask(q *request, tried []directory.InstanceID) balance.Ask {
+// pickCriteria returns the load balancing criteria for a request. While a
+// target on its path is overloaded, latency is ignored for non-idempotent
+// requests. Their child requests are sent from where they run and would
+// otherwise be concentrated near the fastest instance.
+func (n *Node) pickCriteria(q *request, tried []directory.InstanceID) balance.Ask {
 	v := n.dir.View()
-	a := balance.Ask{Route: q.route.Name, Instances: v.Instances(q.Service), Near: v.Near(q.Service, n.cfg.DC), Tried: tried}
-	if n.board.Threshold(q.route.Name) == admit.Top {
-		a.Once, a.Time = !q.route.Idempotent, time.Until(q.deadline)
+	ask := balance.Ask{Route: q.route.Name, Instances: v.Instances(q.Service), Near: v.Near(q.Service, n.cfg.DC), Tried: tried}
+	if n.thresholds.Threshold(q.route.Name) == admit.Top {
+		ask.Once, ask.Time = !q.route.Idempotent, time.Until(q.deadline)
 	}
-	if n.stage(q.kept) == quarantine.Isolated {
-		a.Instances, a.Near = q.kept.home(a.Instances, tried), nil
+	if n.stage(q.quarantine) == quarantine.Isolated {
+		ask.Instances, ask.Near = q.quarantine.pinnedInstance(ask.Instances, tried), nil
 	}
-	return a
+	return ask
 }
 
-// try sends the request to one instance and notes how that went.
-func (n *Node) try(ctx context.Context, q *request, in directory.Instance, t *tries) call.Answer {
+// attempt sends the request to one instance and records the result.
+func (n *Node) attempt(ctx context.Context, q *request, in directory.Instance, att *attempts) call.Answer {
 	sent := time.Now()
-	a, reachable := n.send(ctx, q, in, t)
+	a, reachable := n.send(ctx, q, in, att)
 	o := balance.Outcome{Route: q.route.Name, Unreachable: !reachable, Leaving: a.Leaving, Load: a.Load}
 	switch {
 	case !reachable:
-		t.unreachable++
+		att.unreachable++
 	case a.Status == call.NotRun:
 		o.Refused = a.Reached
 		if a.Reached {
-			t.reached++
+			att.reached++
 		}
 	default:
-		t.reached++
-		t.ran = true
+		att.reached++
+		att.mayHaveRun = true
 		o.Failed = a.Status == call.Unknown || (a.HTTP != nil && a.HTTP.Code >= 500)
 		if a.Status == call.OK {
 			o.Took = time.Since(sent)
 		}
 	}
-	if a.Status == call.Unknown && !n.blames(ctx, q, time.Since(sent)) {
+	if a.Status == call.Unknown && !n.countsAgainstInstance(ctx, q, time.Since(sent)) {
 		o.Failed = false
 	}
 	n.balancer.Done(in.Start(), o)
-	n.noteTry(q.kept, &a)
-	n.stats.tried(q.Service, a.Status, time.Since(sent))
+	n.recordAttempt(q.quarantine, &a)
+	n.stats.observeAttempt(q.Service, a.Status, time.Since(sent))
 	if a.Load != nil {
-		n.board.Told(q.route.Name, a.Load.Admit, a.Load.Binds)
+		n.thresholds.Told(q.route.Name, a.Load.Admit, a.Load.Binds)
 	}
 	if a.Status != call.OK {
-		n.note.Note("try_ended", func() log.Fields {
-			f := log.Fields{"id": q.ID, "fingerprint": q.kept.as.String(), "route": q.route.Name, "service": q.Service, "instance": in.ID, "dc": in.DC, "revision": in.Revision,
-				"status": a.Status, "why": a.Reason, "reached": a.Reached, "took_ms": time.Since(sent).Milliseconds(), "try": len(t.asked)}
+		n.decisions.Note("try_ended", func() log.Fields {
+			f := log.Fields{"id": q.ID, "fingerprint": q.quarantine.fingerprint.String(), "route": q.route.Name, "service": q.Service, "instance": in.ID, "dc": in.DC, "revision": in.Revision,
+				"status": a.Status, "why": a.Reason, "reached": a.Reached, "took_ms": time.Since(sent).Milliseconds(), "try": len(att.tried)}
 			if a.HTTP != nil {
 				f["code"] = a.HTTP.Code
 			}
@@ -140,39 +141,39 @@
 	return a
 }
 
-// blames reports whether a try that got no answer speaks against its
-// instance: not when the caller left, and not when its time was up before
-// requests of its route are usually done. An instance whose answers get lost
-// shows only in requests that wait for them until their time is up.
-func (n *Node) blames(ctx context.Context, q *request, waited time.Duration) bool {
+// countsAgainstInstance reports whether an attempt without a response counts
+// as a failure of its instance. It does not if the caller disconnected or if
+// the deadline was shorter than requests of the route usually take. Lost
+// responses show only as requests that wait until their deadline.
+func (n *Node) countsAgainstInstance(ctx context.Context, q *request, elapsed time.Duration) bool {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return false
 	}
 	timedOut := ctx.Err() != nil || time.Until(q.deadline) <= 2*peerMargin
-	return !timedOut || waited >= slowTimes*n.usual.Mean(q.route.Name, 0)
+	return !timedOut || elapsed >= slowFactor*n.totalTimes.Mean(q.route.Name, 0)
 }
 
-// send hands the request to the node beside an instance; reachable is false
-// if that could not be done, and then nothing of it ran.
-func (n *Node) send(ctx context.Context, q *request, in directory.Instance, t *tries) (a call.Answer, reachable bool) {
+// send sends the request to the node of an instance. If reachable is false,
+// the request was not executed.
+func (n *Node) send(ctx context.Context, q *request, in directory.Instance, att *attempts) (a call.Answer, reachable bool) {
 	r := q.Request
 	r.To = string(in.ID)
-	if !q.turnBy.IsZero() {
-		q.HTTP.Patience = max(time.Until(q.turnBy), noPatience)
+	if !q.queueDeadline.IsZero() {
+		q.HTTP.Patience = max(time.Until(q.queueDeadline), minQueueWait)
 	}
-	r.Yields = q.route.Idempotent && len(t.asked) < q.route.MaxInstances && n.window(q.Service).Room()
+	r.Yields = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).Room()
 	r.Remaining = time.Until(q.deadline) - peerMargin
 	if in.Addr == n.cfg.Target {
 		return n.serveLocal(ctx, r), true
 	}
-	peer, err := n.peerOf(in)
+	peer, err := n.peerFor(in)
 	if err != nil {
 		return call.Refuse(r, err.Error(), 0), false
 	}
-	// A connection can close between Get and Call, before anything is
-	// written; the second Get dials anew.
+	// The connection may close between Get and Call, before anything is
+	// written; the second Get dials a new one.
 	for range 2 {
-		conn, err := n.peers.GetWithin(ctx, peer, dialPatience)
+		conn, err := n.peers.GetWithin(ctx, peer, dialWait)
 		if err != nil {
 			return call.Refuse(r, "node unreachable: "+err.Error(), 0), false
 		}
@@ -182,14 +183,14 @@
 			return a, true
 		}
 	}
-	return call.Refuse(r, "node unreachable: connections close", 0), false
+	return call.Refuse(r, "node unreachable: connections closed before the request was sent", 0), false
 }
 
-// again reports whether the request is to be sent to another instance after
-// an answer, and counts it against the bound on repeats if an instance was
-// handed the request before.
-func (n *Node) again(ctx context.Context, q *request, a call.Answer, t *tries) bool {
-	if ctx.Err() != nil || time.Until(q.deadline) < leastTime || a.Held || n.stage(q.kept) == quarantine.Quarantined {
+// allowRetry reports whether the request is to be sent to another instance
+// after answer a. If an instance has already received it, the retry is
+// charged to the service's retry budget.
+func (n *Node) allowRetry(ctx context.Context, q *request, a call.Answer, att *attempts) bool {
+	if ctx.Err() != nil || time.Until(q.deadline) < minRetryTime || a.Held || n.stage(q.quarantine) == quarantine.Quarantined {
 		return false
 	}
 	switch a.Status {
@@ -204,10 +205,10 @@
 			return false
 		}
 	}
-	if t.reached >= q.route.MaxInstances || !n.window(q.Service).Repeat() {
+	if att.reached >= q.route.MaxInstances || !n.retryBudget(q.Service).Repeat() {
 		return false
 	}
-	n.stats.repeated(q.Service)
+	n.stats.countRetry(q.Service)
 	q.HTTP.Repeat = true
 	return true
 }
--- a/sidecar/header.go
+++ b/sidecar/header.go
@@ -7,41 +7,41 @@
 	"github.com/oatpin/oatpin/call"
 )
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the hop-by-hop headers, which are not forwarded.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// ownFields are the names of headers that do not go on to the target.
-type ownFields map[string]bool
+// headerSet is a set of header names.
+type headerSet map[string]bool
 
-// lengthField is set anew for each body.
-var lengthField = ownFields{"Content-Length": true}
+// contentLength is recomputed for each response body.
+var contentLength = headerSet{"Content-Length": true}
 
-// newOwnFields returns the headers that a node sets itself or keeps; with
-// accounts those besides that say whose request it is.
-func newOwnFields(names call.Headers, accounts bool) ownFields {
-	own := ownFields{names.Deadline: true, names.ExpectedInstance: true, names.CallerService: true,
+// newDropHeaders returns the headers that are not copied from the caller's
+// request, including the key and account headers if accounts is set.
+func newDropHeaders(headers call.Headers, accounts bool) headerSet {
+	drop := headerSet{headers.Deadline: true, headers.ExpectedInstance: true, headers.CallerService: true,
 		"Content-Length": true, "Host": true, "Expect": true}
 	if accounts {
-		own[names.Key], own[names.Account] = true, true
+		drop[headers.Key], drop[headers.Account] = true, true
 	}
-	return own
+	return drop
 }
 
-// fields returns the headers that go on to the target.
-func (n *Node) fields(h http.Header, accounts bool) []call.Field {
+// forwardedFields returns the headers to be forwarded to the target.
+func (n *Node) forwardedFields(h http.Header, accounts bool) []call.Field {
 	if accounts {
-		return endToEnd(h, n.ownWithAccounts)
+		return endToEnd(h, n.dropHeadersWithAccounts)
 	}
-	return endToEnd(h, n.own)
+	return endToEnd(h, n.dropHeaders)
 }
 
-// endToEnd returns the headers of h that do not concern one connection only.
-func endToEnd(h http.Header, drop ownFields) []call.Field {
-	named := h["Connection"]
+// endToEnd returns the end-to-end headers of h, except those in drop.
+func endToEnd(h http.Header, drop headerSet) []call.Field {
+	connection := h["Connection"]
 	fs := make([]call.Field, 0, len(h))
 	for name, values := range h {
-		if drop[name] || isHopByHop(name, named) {
+		if drop[name] || isHopByHop(name, connection) {
 			continue
 		}
 		for _, v := range values {
--- a/sidecar/lifetime_test.go
+++ b/sidecar/lifetime_test.go
@@ -13,7 +13,7 @@
 
 // A node is started while the store does not answer. It knows no route, so a
 // 404 would deny a request that every version allows.
-func TestANodeThatKnowsNothingAsksCallersToComeBack(t *testing.T) {
+func TestNodeWithoutRoutesReturnsRetryAfter(t *testing.T) {
 	m := &mesh{t: t, port: freePort(t)}
 	m.vms = append(m.vms, m.start("127.0.0.2", "archiv"))
 	t.Cleanup(m.stop)
@@ -22,7 +22,7 @@
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotEqual, "")
 		So(readyCode(m.vms[0]), ShouldEqual, http.StatusServiceUnavailable)
-		m.tellAll(1)
+		m.updateAll(1)
 		So(readyCode(m.vms[0]), ShouldEqual, http.StatusOK)
 		_, got = m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusOK)
@@ -41,17 +41,17 @@
 // A node gets SIGTERM while its target works on a request that came from
 // another node, and new requests still come for a while. None may be cut, and
 // the process ends in its grace.
-func TestAStopCutsNothing(t *testing.T) {
+func TestShutdownFinishesRequests(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	Convey("What runs ends, what comes is answered, the process ends in its grace", t, func() {
 		began := make(chan struct{}, 1)
 		for _, v := range m.vms[1:] {
-			v.target.on(func(w http.ResponseWriter, r *http.Request) {
+			v.target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasSuffix(r.URL.Path, "slow") {
 					began <- struct{}{}
 					time.Sleep(600 * time.Millisecond)
 				}
-				signed(w, r, http.StatusOK, "")
+				writeSigned(w, r, http.StatusOK, "")
 			})
 		}
 		slow := make(chan reply, 1)
@@ -61,7 +61,7 @@
 		}()
 		<-began
 		stopping := m.vms[1]
-		if len(m.vms[2].target.ran) > 0 {
+		if len(m.vms[2].target.runsByID) > 0 {
 			stopping = m.vms[2]
 		}
 		start := time.Now()
@@ -78,14 +78,14 @@
 		So((<-slow).code, ShouldEqual, http.StatusOK)
 		<-stopped
 		So(time.Since(start), ShouldBeLessThan, 3*time.Second)
-		So(<-stopping.ended, ShouldBeNil)
+		So(<-stopping.served, ShouldBeNil)
 	})
 }
 
 // Nodes are restarted one after the other. Each stays up for two seconds so
 // that callers notice, and its instance, a third of its service, would have
 // nothing to do meanwhile while the others refuse reads for want of room.
-func TestAStoppingNodeGivesItsInstanceWorkForAWhile(t *testing.T) {
+func TestDrainingNodeServesPeersAtFirst(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("Peers' requests are served at first, then sent away unrun, and none is cut", t, func() {
 		stopped := make(chan struct{})
@@ -93,24 +93,24 @@
 		time.Sleep(20 * time.Millisecond)
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusOK)
-		time.Sleep(peersAfter)
+		time.Sleep(peerDrainDelay)
 		id, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
-		So(m.vms[1].target.runs(id), ShouldEqual, 0)
+		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		<-stopped
 	})
 }
 
 // The store does not tell one node of a change and tells the other. The
 // first hears from the second's answers that it is behind, and catches up.
-func TestANodeThatIsBehindCatchesUp(t *testing.T) {
+func TestNodeCatchesUpWithPeerRevision(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("Answers carry the revision, and the snapshot is taken over", t, func() {
 		r, err := directory.NewRoutes(2, directory.Limits{}, testRoutes[:1])
 		So(err, ShouldBeNil)
 		m.vms[1].dir.Apply([]directory.Change{{Routes: r}}, 9)
 		m.get(m.vms[0], "/read/x")
-		time.Sleep(catchUpAfter + 200*time.Millisecond)
+		time.Sleep(catchUpDelay + 200*time.Millisecond)
 		So(m.vms[0].dir.Revision(), ShouldEqual, 9)
 		So(m.vms[0].dir.View().Routes.Version, ShouldEqual, 2)
 	})
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -2,17 +2,16 @@
 
 import "github.com/oatpin/oatpin/directory"
 
-// usableSlots is the part of a target's slots that are used: some
-// targets slow down by a third above 19 of 20 slots. Small targets are
-// the scarce ones, and of 37 slots one less is three in a hundred of all
-// that can be served.
-const usableSlots = 0.95
+// usableSlotRatio is the fraction of a target's slots that are used; some
+// targets slow down when nearly all slots are busy.
+const usableSlotRatio = 0.95
 
-// learn takes over what changed about the local target.
-func (n *Node) learn(v *directory.View) {
+// applyView applies a new directory view, including changes to the local
+// target.
+func (n *Node) applyView(v *directory.View) {
 	n.balancer.Keep(v)
-	n.askAfter(v)
-	if b := n.accounts(); b != nil {
+	n.queryUnlisted(v)
+	if b := n.accountBook(); b != nil {
 		n.limiter.Keep(b)
 	}
 	in, ok := v.At(n.cfg.Target)
@@ -25,19 +24,19 @@
 	}
 	old := n.self.Swap(&in)
 	if old != nil && old.Start() != in.Start() {
-		// What failed, and what the open connections lead to, ended with
-		// the start before.
+		// Failure statistics and connections belong to the previous process.
 		n.health.Reset()
 		n.pace.Reset()
 		n.target.Close()
 	}
 	if old == nil || old.Slots != in.Slots {
-		usable := int(float64(in.Slots) * usableSlots)
+		usable := int(float64(in.Slots) * usableSlotRatio)
 		n.gate.SetLimit(usable)
 		n.meter.SetSlots(usable)
 	}
 	if in.Leaving {
-		// What waits here has not run: other instances can have it now.
+		// Queued requests have not been executed and can go to other
+		// instances.
 		n.gate.Close()
 	} else {
 		n.gate.Open()
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -27,175 +27,176 @@
 )
 
 const (
-	// firstSlots is taken for a target that is not listed yet.
-	firstSlots = 16
-	// headerWait bounds how long a caller may take for its header.
-	headerWait = 5 * time.Second
-	// idleWait is how long a caller's idle connection is kept; longer than
-	// any limit an operator sets, so that callers who reuse connections
-	// within theirs never meet our close.
-	idleWait = time.Minute
-	// headerBytes bounds a caller's header.
-	headerBytes = 64 << 10
+	// initialSlots is the slot limit of a target that is not in the directory
+	// yet.
+	initialSlots = 16
+	// headerTimeout bounds the time to read a request's header.
+	headerTimeout = 5 * time.Second
+	// idleTimeout closes idle caller connections. It exceeds the idle
+	// timeouts of callers so that they never reuse a connection that is being
+	// closed here.
+	idleTimeout = time.Minute
+	// maxHeaderBytes bounds the size of a request's header.
+	maxHeaderBytes = 64 << 10
 )
 
 type (
-	// Config is what a Node is built from.
+	// Config is the configuration of a Node.
 	Config struct {
-		Name    string // of this node, in its log lines and to its peers
+		Name    string // name of this node in logs, metrics and towards peers
 		DC      callgraph.DC
-		Service string // the service of the local target
+		Service string // service of the local target
 		Target  string // host:port of the local target
-		Callers string // host:port for callers on this VM and the local target's own calls
-		Peer    string // host:port for other nodes; the port is the same on all VMs
-		Control string // host:port at which nodes that know nothing ask; empty for none
-		// Seeds are control addresses of other nodes, asked while the source
-		// does not answer a node that knows nothing yet.
+		Callers string // host:port that accepts requests from callers on this VM and from the local target
+		Peer    string // host:port that accepts requests from other nodes; the port is the same on all VMs
+		Control string // host:port that accepts requests from nodes without a directory; empty for none
+		// Seeds are Control addresses of other nodes, queried for the
+		// directory at startup while the source does not answer.
 		Seeds   []string
-		Ready   string // host:port for readiness questions
-		Metrics string // host:port for metrics
+		Ready   string // host:port of the readiness endpoint
+		Metrics string // host:port of the metrics endpoint
 		Headers call.Headers
 		Tuning  Tuning
-		// Policies are the decisions that are switched on; Usual for all.
+		// Policies are the enabled policies; Usual enables all.
 		Policies Policies
-		// Grace is how long the process may go on after it is told to stop.
+		// Grace is the time from Shutdown until the process is killed.
 		Grace     time.Duration
 		Directory *directory.Directory
-		// Source tells what the Directory knows; nil for a node that learns
-		// it from its seeds, or is told otherwise.
+		// Source feeds the Directory. It is nil for a node that learns the
+		// directory from its seeds or is updated by its owner.
 		Source directory.Source
 		Log    log.Interface
 	}
 
-	// Tuning is the part of a Config that can change while a Node runs.
+	// Tuning is the part of the configuration that can change at run time.
 	Tuning struct {
-		// BodyBytes bounds the bodies of all requests held at once; 0 for no
-		// bound.
+		// BodyBytes bounds the total size of request bodies held in memory; 0
+		// means no bound.
 		BodyBytes int64
-		// Repeats bounds what is sent to a second instance.
+		// Repeats is the retry budget of each service.
 		Repeats budget.WindowConfig
 	}
 
-	// Node is one running node.
+	// Node is a running sidecar. New builds one.
 	Node struct {
-		cfg       Config
-		log       log.Interface
-		note      *timeline.Decisions
-		dir       *directory.Directory
-		balancer  *balance.Balancer
-		gate      *slots.Gate
-		work      *slots.Work // of the local target, by route
-		pace      *slots.Pace // of the local target
-		usual     *slots.Work // of whole requests that began here, by route
-		meter     *admit.Meter
-		health    balance.Health // of the local target
-		board     *admit.Board
-		costs     *admit.Costs // of whole requests that began here
-		prospects *admit.Prospects
-		admission admit.Admission
-		levels    admit.Levels
-		patience  admit.Wait // of a new request for its turn
-		comeBack  admit.Wait // of a refused caller
-		running   *running
-		witness   *vouch.Witness // of the local instance
-		asking    asking         // the nodes of unlisted instances
-		ends      ends           // of the local target
-		book      *quarantine.Book
-		lane      *quarantine.Lane // to the local target
-		telling   telling          // other nodes, what the book has of the local target's ends
-		heard     heard            // what other nodes' books have told
-		limiter   *account.Limiter
-		exchange  *account.Exchange // of what is let in of accounts
-		member    *membership.Member
-		target    *targetconn.Pool
-		peers     *wire.Pool
-		peerPort  string
-		stats     *stats
-		wire      wire.Server
-		callers   *http.Server
-		ready     *http.Server
-		own       ownFields
-		// ownWithAccounts is for versions with client accounts.
-		ownWithAccounts ownFields
-		metrics         *http.Server
+		cfg          Config
+		log          log.Interface
+		decisions    *timeline.Decisions
+		dir          *directory.Directory
+		balancer     *balance.Balancer
+		gate         *slots.Gate
+		targetTimes  *slots.Work // execution times at the local target, by route
+		pace         *slots.Pace // of the local target
+		totalTimes   *slots.Work // end-to-end times of requests that enter here, by route
+		meter        *admit.Meter
+		health       balance.Health // of the local target
+		thresholds   *admit.Board
+		costs        *admit.Costs // of requests that enter here
+		prospects    *admit.Prospects
+		admission    admit.Admission
+		levels       admit.Levels
+		queueWait    admit.Wait // limits the queueing of new requests
+		retryAfter   admit.Wait // Retry-After of refused requests
+		running      *runningRequests
+		witness      *vouch.Witness // of the local instance
+		vouchQueries pendingQueries // for unlisted instances
+		exits        exitDetector   // of the local target
+		quarantine   *quarantine.Book
+		isolation    *quarantine.Lane // restricts concurrency at the local target
+		reports      reportQueue      // outgoing quarantine reports
+		peerCursors  cursorTable      // positions in the quarantine records of peers
+		limiter      *account.Limiter
+		exchange     *account.Exchange // shares account usage between nodes
+		member       *membership.Member
+		target       *targetconn.Pool
+		peers        *wire.Pool
+		peerPort     string
+		stats        *stats
+		peerServer   wire.Server
+		callerServer *http.Server
+		readyServer  *http.Server
+		dropHeaders  headerSet
+		// dropHeadersWithAccounts applies if the routes have client accounts.
+		dropHeadersWithAccounts headerSet
+		metricsServer           *http.Server
 
-		draws    atomic.Uint64 // numbers the draws of split routes
-		tuning   atomic.Pointer[Tuning]
-		bodies   atomic.Int64 // bytes of callers' bodies held
-		active   atomic.Int64 // callers' requests being answered
-		catching atomic.Bool  // a peer is being asked for its snapshot
-		vouching atomic.Bool  // the last word given for the local instance
-		leaving  atomic.Int64 // unix nanoseconds of the stop's begin, 0 before
-		self     atomic.Pointer[directory.Instance]
+		draws          atomic.Uint64 // sequence number of the last draw
+		tuning         atomic.Pointer[Tuning]
+		heldBodyBytes  atomic.Int64 // size of the request bodies in memory
+		activeRequests atomic.Int64 // requests from callers in progress
+		catchingUp     atomic.Bool  // a catch-up from a peer is in progress
+		lastVouch      atomic.Bool  // last result of vouching for the local instance
+		drainStart     atomic.Int64 // Unix time in nanoseconds; 0 before shutdown
+		self           atomic.Pointer[directory.Instance]
 
-		mu      sync.Mutex
-		windows map[string]*budget.Window // by service
+		mu           sync.Mutex
+		retryBudgets map[string]*budget.Window // by service
 
-		staying context.Context // ends when the stop begins
-		leave   context.CancelFunc
-		stop    chan struct{}
+		untilDrain context.Context // canceled when shutdown begins
+		startDrain context.CancelFunc
+		stop       chan struct{}
 	}
 )
 
-// New builds a Node; Serve starts it.
+// New returns a Node that is not running yet; Serve starts it.
 func New(cfg Config) (*Node, error) {
 	_, port, err := net.SplitHostPort(cfg.Peer)
 	if err != nil {
 		return nil, eris.Wrapf(err, "peer address %s", cfg.Peer)
 	}
 	n := &Node{
-		cfg:      cfg,
-		log:      cfg.Log,
-		note:     timeline.NewDecisions(cfg.Log, cfg.Policies.decisionLines()),
-		dir:      cfg.Directory,
-		balancer: balance.New(cfg.Policies.balancer(cfg.DC)),
-		gate:     slots.NewGate(firstSlots, cfg.Policies.order()),
-		work:     slots.NewWork(),
-		usual:    slots.NewWork(),
-		pace:     slots.NewPace(),
-		meter:    admit.NewMeter(firstSlots),
-		board:    admit.NewBoard(),
-		costs:    admit.NewCosts(),
-		running:  newRunning(),
-		target:   targetconn.NewPool(targetconn.Config{Addr: cfg.Target, Headers: cfg.Headers}),
-		peerPort: port,
-		stats:    newStats(cfg.Name),
-		windows:  map[string]*budget.Window{},
-		asking:   asking{starts: map[directory.Start]bool{}},
-		lane:     quarantine.NewLane(),
-		heard:    heard{upTo: map[membership.Addr]quarantine.Cursor{}},
-		stop:     make(chan struct{}),
+		cfg:          cfg,
+		log:          cfg.Log,
+		decisions:    timeline.NewDecisions(cfg.Log, cfg.Policies.decisionLogRate()),
+		dir:          cfg.Directory,
+		balancer:     balance.New(cfg.Policies.balancer(cfg.DC)),
+		gate:         slots.NewGate(initialSlots, cfg.Policies.queueOrder()),
+		targetTimes:  slots.NewWork(),
+		totalTimes:   slots.NewWork(),
+		pace:         slots.NewPace(),
+		meter:        admit.NewMeter(initialSlots),
+		thresholds:   admit.NewBoard(),
+		costs:        admit.NewCosts(),
+		running:      newRunningRequests(),
+		target:       targetconn.NewPool(targetconn.Config{Addr: cfg.Target, Headers: cfg.Headers}),
+		peerPort:     port,
+		stats:        newStats(cfg.Name),
+		retryBudgets: map[string]*budget.Window{},
+		vouchQueries: pendingQueries{pending: map[directory.Start]bool{}},
+		isolation:    quarantine.NewLane(),
+		peerCursors:  cursorTable{cursors: map[membership.Addr]quarantine.Cursor{}},
+		stop:         make(chan struct{}),
 
-		own:             newOwnFields(cfg.Headers, false),
-		ownWithAccounts: newOwnFields(cfg.Headers, true),
+		dropHeaders:             newDropHeaders(cfg.Headers, false),
+		dropHeadersWithAccounts: newDropHeaders(cfg.Headers, true),
 	}
-	self, err := n.peerOf(directory.Instance{Addr: cfg.Target})
+	self, err := n.peerFor(directory.Instance{Addr: cfg.Target})
 	if err != nil {
 		return nil, err
 	}
-	n.staying, n.leave = context.WithCancel(context.Background())
-	n.member = membership.New(n.membership(self))
+	n.untilDrain, n.startDrain = context.WithCancel(context.Background())
+	n.member = membership.New(n.membershipConfig(self))
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
-	n.book = quarantine.NewBook(quarantine.Config{Off: !cfg.Policies.Quarantine, Log: cfg.Log})
+	n.quarantine = quarantine.NewBook(quarantine.Config{Off: !cfg.Policies.Quarantine, Log: cfg.Log})
 	n.witness = vouch.NewWitness(vouch.Config{Listed: n.listed, Probe: n.probe, SourceLost: n.dir.SourceLost})
-	byLoad := cfg.Policies.admission(n.board)
-	n.prospects = admit.NewProspects(byLoad)
-	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.prospects, byLoad)
+	loadAdmission := cfg.Policies.admission(n.thresholds)
+	n.prospects = admit.NewProspects(loadAdmission)
+	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.prospects, loadAdmission)
 	n.levels = cfg.Policies.levels(n.costs)
-	n.patience, n.comeBack = cfg.Policies.patience(), cfg.Policies.comeBack()
+	n.queueWait, n.retryAfter = cfg.Policies.queueWait(), cfg.Policies.retryAfter()
 	n.tuning.Store(&cfg.Tuning)
-	n.peers = wire.NewPool(wire.PoolConfig{Log: cfg.Log, OnVersion: n.heardRevision, Trusting: !cfg.Policies.Suspicion})
-	n.wire = wire.Server{Handler: n.servePeer, Version: n.revision}
-	n.callers = &http.Server{Handler: http.HandlerFunc(n.serveCaller), ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: headerBytes}
-	n.ready = &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerWait}
-	n.metrics = &http.Server{Handler: n.stats, ReadHeaderTimeout: headerWait}
-	n.dir.OnChange(n.learn)
-	n.stats.watch(n)
+	n.peers = wire.NewPool(wire.PoolConfig{Log: cfg.Log, OnVersion: n.onPeerRevision, Trusting: !cfg.Policies.Suspicion})
+	n.peerServer = wire.Server{Handler: n.servePeer, Version: n.revision}
+	n.callerServer = &http.Server{Handler: http.HandlerFunc(n.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
+	n.readyServer = &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
+	n.metricsServer = &http.Server{Handler: n.stats, ReadHeaderTimeout: headerTimeout}
+	n.dir.OnChange(n.applyView)
+	n.stats.registerGauges(n)
 	return n, nil
 }
 
-// Serve listens on the configured addresses and runs until Shutdown.
+// Serve listens on the configured addresses and serves until Shutdown.
 func (n *Node) Serve() error {
 	failed := make(chan error, 5)
 	listen := func(addr string, serve func(net.Listener) error) error {
@@ -208,20 +209,20 @@
 		return nil
 	}
 	if n.cfg.Control != "" {
-		if err := listen(n.cfg.Control, n.wire.Serve); err != nil {
+		if err := listen(n.cfg.Control, n.peerServer.Serve); err != nil {
 			return err
 		}
 	}
 	for _, s := range []struct {
 		addr  string
 		serve func(net.Listener) error
-	}{{n.cfg.Peer, n.wire.Serve}, {n.cfg.Callers, n.callers.Serve}, {n.cfg.Ready, n.ready.Serve}, {n.cfg.Metrics, n.metrics.Serve}} {
+	}{{n.cfg.Peer, n.peerServer.Serve}, {n.cfg.Callers, n.callerServer.Serve}, {n.cfg.Ready, n.readyServer.Serve}, {n.cfg.Metrics, n.metricsServer.Serve}} {
 		if err := listen(s.addr, s.serve); err != nil {
 			return err
 		}
 	}
 	go n.peers.KeepAlive(n.stop)
-	go n.learnUntilStop()
+	go n.runBackground()
 	n.log.WithFields(log.Fields{"callers": n.cfg.Callers, "peer": n.cfg.Peer, "service": n.cfg.Service}).Info("node_started")
 	err := <-failed
 	select {
@@ -232,14 +233,14 @@
 	}
 }
 
-// membership is what this node's part in reading the source is built from.
-// self is how others know this node, by the address of the instance beside it:
-// it may listen at another, or at any, and would then never find itself among
-// those that are to read.
-func (n *Node) membership(self wire.Peer) membership.Config {
+// membershipConfig returns the configuration of the node's membership. self
+// is the address at which other nodes reach this one, derived from its
+// instance. The listen address may differ (such as 0.0.0.0), and the node
+// would then not recognize itself as a reader.
+func (n *Node) membershipConfig(self wire.Peer) membership.Config {
 	cfg := membership.Config{Directory: n.dir, Source: n.cfg.Source, Self: membership.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
 	cfg.Beside = func(in directory.Instance) (membership.Addr, error) {
-		p, err := n.peerOf(in)
+		p, err := n.peerFor(in)
 		return membership.Addr(p.Addr), err
 	}
 	for _, s := range n.cfg.Seeds {
@@ -249,7 +250,7 @@
 	return cfg
 }
 
-func (n *Node) learnUntilStop() {
+func (n *Node) runBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
 	go n.member.Run(ctx)
 	go n.exchange.Run(ctx)
@@ -258,44 +259,44 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if n.dir.View().Routes == nil || !n.dir.Listed() || n.leaving.Load() != 0 {
+	if n.dir.View().Routes == nil || !n.dir.Listed() || n.drainStart.Load() != 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 func (n *Node) revision() uint64 { return uint64(n.dir.Revision()) }
 
-func (n *Node) version() uint64 {
+func (n *Node) routesVersion() uint64 {
 	if r := n.dir.View().Routes; r != nil {
 		return uint64(r.Version)
 	}
 	return 0
 }
 
-// Shutdown stops the node gracefully, within its grace. It tells callers and
-// peers at once that it is leaving, goes on serving what still comes, and
-// ends when nothing is left to answer.
+// Shutdown stops the node gracefully within its grace period. It fails the
+// readiness check, keeps serving incoming requests, and returns when none are
+// left.
 func (n *Node) Shutdown(context.Context) {
 	began := time.Now()
-	n.leaving.Store(began.UnixNano())
-	n.leave()
+	n.drainStart.Store(began.UnixNano())
+	n.startDrain()
 	n.log.Info("node_leaving")
-	last := began.Add(n.cfg.Grace * lastAnswerNum / lastAnswerDen)
-	t := time.NewTicker(idlePoll)
+	deadline := began.Add(n.cfg.Grace * drainTimeoutNum / drainTimeoutDen)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for now := range t.C {
-		idle := n.active.Load() == 0 && n.wire.InFlight() == 0
-		if now.After(last) || (idle && now.Sub(began) > noticeTime) {
+		idle := n.activeRequests.Load() == 0 && n.peerServer.InFlight() == 0
+		if now.After(deadline) || (idle && now.Sub(began) > minDrainTime) {
 			break
 		}
 	}
 	close(n.stop)
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if err := n.callers.Shutdown(ctx); err != nil {
+	if err := n.callerServer.Shutdown(ctx); err != nil {
 		n.log.WithError(err).Warn("callers_cut")
 	}
-	n.wire.CloseConns()
+	n.peerServer.CloseConns()
 	n.peers.CloseAll()
 	n.log.WithField("took_ms", time.Since(began).Milliseconds()).Info("node_stopped")
 }
--- a/sidecar/pace_test.go
+++ b/sidecar/pace_test.go
@@ -14,15 +14,15 @@
 // what goes to the slow one is answered 504 at the end of it, with no time
 // left for the other. Its node knows from the requests that hang there, and
 // sends what comes later on at once.
-func TestWhatASlowTargetCannotDoInTimeIsDoneByAnother(t *testing.T) {
+func TestSlowTargetIsSkippedWhenDeadlineIsTooShort(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	slow := m.vms[1]
 	usual := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
-		signed(w, r, http.StatusOK, "")
+		writeSigned(w, r, http.StatusOK, "")
 	}
 	for _, v := range m.vms[1:] {
-		v.target.on(usual)
+		v.target.handleWith(usual)
 	}
 	read := func(ms string) int {
 		_, got := m.send(t.Context(), m.vms[0], http.MethodGet, "/read/x", "", map[string]string{"Deadline-Ms": ms})
@@ -31,9 +31,9 @@
 	for range 30 {
 		read("300")
 	}
-	slow.target.on(func(w http.ResponseWriter, r *http.Request) {
+	slow.target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(800 * time.Millisecond)
-		signed(w, r, http.StatusOK, "")
+		writeSigned(w, r, http.StatusOK, "")
 	})
 	var hang sync.WaitGroup
 	for range 8 {
--- a/sidecar/path_test.go
+++ b/sidecar/path_test.go
@@ -16,7 +16,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestARequestCrossesTwoNodesUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("The target gets the caller's request and the caller the target's answer", t, func() {
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPut, "/publish/a%2fb?x=1&y", "note",
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestBadRequestsAreRefusedClearly(t *testing.T) {
+func TestInvalidRequestStatusCodes(t *testing.T) {
 	m := newMesh(t, "archiv")
 	Convey("Each has its own status and runs nothing", t, func() {
 		v := m.vms[0]
@@ -56,7 +56,7 @@
 		} {
 			id, got := m.send(context.Background(), v, http.MethodPost, c.path, c.body, c.header)
 			So(c.name+" "+strconv.Itoa(got.code), ShouldEqual, c.name+" "+strconv.Itoa(c.code))
-			So(v.target.runs(id), ShouldEqual, 0)
+			So(v.target.runCount(id), ShouldEqual, 0)
 		}
 		Convey("A request without a deadline has the route's timeout", func() {
 			_, got := m.send(context.Background(), v, http.MethodGet, "/read/x", "", map[string]string{"Deadline-Ms": ""})
@@ -70,7 +70,7 @@
 // An instance runs a request and its connection breaks before the answer. A
 // publication must not be sent again, and "503, not run" would make the
 // client send it again; a read may go to another instance.
-func TestALostAnswer(t *testing.T) {
+func TestConnectionLostBeforeResponse(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	breakOff := func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -81,17 +81,17 @@
 	}
 	Convey("An action ends unknown, run once; a read is answered by another instance", t, func() {
 		for _, v := range m.vms[1:] {
-			v.target.on(breakOff)
+			v.target.handleWith(breakOff)
 		}
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusBadGateway)
-		So(m.vms[1].target.runs(id)+m.vms[2].target.runs(id), ShouldEqual, 1)
-		m.vms[2].target.on(func(w http.ResponseWriter, r *http.Request) { signed(w, r, http.StatusOK, "whole") })
+		So(m.vms[1].target.runCount(id)+m.vms[2].target.runCount(id), ShouldEqual, 1)
+		m.vms[2].target.handleWith(func(w http.ResponseWriter, r *http.Request) { writeSigned(w, r, http.StatusOK, "whole") })
 		for range 4 {
 			id, got = m.get(m.vms[0], "/read/x")
 			So(got.code, ShouldEqual, http.StatusOK)
 			So(got.body, ShouldEqual, "whole")
-			So(m.vms[1].target.runs(id)+m.vms[2].target.runs(id), ShouldBeLessThanOrEqualTo, 2)
+			So(m.vms[1].target.runCount(id)+m.vms[2].target.runCount(id), ShouldBeLessThanOrEqualTo, 2)
 		}
 	})
 }
@@ -99,19 +99,19 @@
 // A full instance refuses a publication unrun. It may go to the next
 // instance; when all refuse, the caller is told that it has not run and when
 // to come back.
-func TestARefusalIsPassedOnAsOne(t *testing.T) {
+func TestTargetRefusalIsRetried(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	Convey("One refusal is made up for, refusals by all are one answer", t, func() {
-		m.vms[1].target.on(refuse)
+		m.vms[1].target.handleWith(refuse)
 		for range 4 {
 			_, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 			So(got.code, ShouldEqual, http.StatusOK)
 		}
-		m.vms[2].target.on(refuse)
+		m.vms[2].target.handleWith(refuse)
 		_, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -123,28 +123,28 @@
 
 // An instance has ended and another service's instance has its address; the
 // list here is old. The request must not run there.
-func TestAnAddressThatWasGivenAwayRunsNothing(t *testing.T) {
+func TestReusedAddressRunsNothing(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("The other instance refuses it, and so does its node", t, func() {
 		m.vms[1].target.id = "i-later"
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
-		So(m.vms[1].target.runs(id), ShouldEqual, 0)
+		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		later := m.vms[1].self
 		later.ID, later.Service, later.Revision = "i-later", "rankings", 5
 		m.vms[1].dir.Apply([]directory.Change{{Instance: &later}}, 5)
 		id, got = m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
-		So(m.vms[1].target.runs(id), ShouldEqual, 0)
+		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 	})
 }
 
 // A target never answers. The caller gets its final answer when the route's
 // timeout ends, though it would wait twice as long.
-func TestARouteTimeoutEndsARequest(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("504 at the timeout", t, func() {
-		m.vms[1].target.on(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+		m.vms[1].target.handleWith(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		began := time.Now()
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusGatewayTimeout)
@@ -154,7 +154,7 @@
 
 // A caller closes its connection while its read runs two nodes away. The
 // target stops, since nobody waits; an action goes on to its end.
-func TestACallerThatLeavesStopsItsRead(t *testing.T) {
+func TestCallerDisconnectCancelsRead(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("A read's target sees its connection close, an action's does not", t, func() {
 		for _, c := range []struct {
@@ -163,7 +163,7 @@
 		}{{http.MethodGet, "/read/x", true}, {http.MethodPost, "/publish/x", false}} {
 			began := make(chan struct{}, 1)
 			stopped := make(chan bool, 1)
-			m.vms[1].target.on(func(_ http.ResponseWriter, r *http.Request) {
+			m.vms[1].target.handleWith(func(_ http.ResponseWriter, r *http.Request) {
 				began <- struct{}{}
 				select {
 				case <-r.Context().Done():
@@ -181,11 +181,11 @@
 	})
 }
 
-func rid(s string) call.RequestID { return call.RequestID(s) }
+func requestID(s string) call.RequestID { return call.RequestID(s) }
 
 // A node is restarted while the store turns it away. Its VM is of no use until
 // it knows the routes, which every other node could tell.
-func TestARestartedNodeLearnsFromASeed(t *testing.T) {
+func TestRestartedNodeLoadsDirectoryFromSeed(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("It asks the seeds, one after the other, until one tells", t, func() {
 		m.seeds = []string{"127.0.0.9:1", m.vms[1].node.cfg.Control}
@@ -205,7 +205,7 @@
 
 // A caller sends half a body and stops. Its connection is not to be held for
 // ever, and it is told that nothing ran.
-func TestABodyThatStopsIsRefusedInTime(t *testing.T) {
+func TestStalledBodyTimesOut(t *testing.T) {
 	m := newMesh(t, "archiv")
 	Convey("408 when the request's time is up", t, func() {
 		c, err := net.Dial("tcp", m.vms[0].node.cfg.Callers)
@@ -217,6 +217,6 @@
 		So(err, ShouldBeNil)
 		So(resp.StatusCode, ShouldEqual, http.StatusRequestTimeout)
 		So(time.Since(began), ShouldBeBetween, 250*time.Millisecond, 900*time.Millisecond)
-		So(m.vms[0].target.runs("half"), ShouldEqual, 0)
+		So(m.vms[0].target.runCount("half"), ShouldEqual, 0)
 	})
 }
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -11,50 +11,50 @@
 	"github.com/oatpin/oatpin/timeline"
 )
 
-// Policies are the decisions that a node's operator can switch off one by
-// one, to learn what each is worth on a deployment; docs/POLICY.md has what
-// they were found to be worth. Each is on unless the settings say otherwise.
+// Policies are the features that an operator can disable one by one to
+// measure their effect; docs/POLICY.md has results. Each is on by default.
 type Policies struct {
-	Thresholds  bool `ini:"thresholds"`   // new requests are refused at the entry by what targets told
-	Prospects   bool `ini:"prospects"`    // and those of routes whose requests nearly all fail
-	Costs       bool `ini:"costs"`        // kinds of request are admitted by their cost
-	Parts       bool `ini:"parts"`        // what waits goes by part, not by arrival
-	Pace        bool `ini:"pace"`         // what a target is too slow for is refused at once
-	Patience    bool `ini:"patience"`     // new requests wait only while their answer can be on time
-	ComeBack    bool `ini:"come_back"`    // refused callers are told a time that suits theirs
-	Repeats     bool `ini:"repeats"`      // requests are sent to a second instance
-	Told        bool `ini:"told"`         // nodes tell how their instance fails
-	Speed       bool `ini:"speed"`        // slow instances get less
-	Tight       bool `ini:"tight"`        // actions with little time go to fast instances
-	Explore     bool `ini:"explore"`      // and now and then to any
-	Sample      bool `ini:"sample"`       // a few instances are weighed for a request, not all
-	Vouch       bool `ini:"vouch"`        // nodes vouch for instances whose entries went
-	Quarantine  bool `ini:"quarantine"`   // requests that end instances are kept from them
-	Doubt       bool `ini:"doubt"`        // entries missing after an outage are kept for a while
-	Suspicion   bool `ini:"suspicion"`    // peers that answer no ping are passed over
-	Spread      bool `ini:"spread"`       // watches after a change are spread
-	Limits      bool `ini:"limits"`       // accounts are held to their rate limits
-	Readers     bool `ini:"readers"`      // few nodes read the source, and the others learn from them
+	Thresholds  bool `ini:"thresholds"`   // refuse new requests at the entry node by the thresholds that targets report
+	Prospects   bool `ini:"prospects"`    // also refuse routes whose requests nearly all fail
+	Costs       bool `ini:"costs"`        // admit kinds of requests by their cost
+	Parts       bool `ini:"parts"`        // order queues by part instead of by arrival
+	Pace        bool `ini:"pace"`         // refuse requests that a slow target cannot finish before their deadline
+	Patience    bool `ini:"patience"`     // limit queueing of new requests to what their deadline allows
+	ComeBack    bool `ini:"come_back"`    // derive Retry-After from the caller's deadline
+	Repeats     bool `ini:"repeats"`      // retry on a second instance
+	Told        bool `ini:"told"`         // weigh the failure ratios that nodes report for their instances
+	Speed       bool `ini:"speed"`        // send less to slow instances
+	Tight       bool `ini:"tight"`        // send non-idempotent requests with short deadlines to fast instances
+	Explore     bool `ini:"explore"`      // and occasionally to any instance
+	Sample      bool `ini:"sample"`       // balance over a sample of instances instead of all
+	Vouch       bool `ini:"vouch"`        // nodes vouch for instances whose directory entries have gone
+	Quarantine  bool `ini:"quarantine"`   // isolate requests that crash instances
+	Doubt       bool `ini:"doubt"`        // keep entries that are missing after a source outage for a while
+	Suspicion   bool `ini:"suspicion"`    // skip peers that do not answer pings
+	Spread      bool `ini:"spread"`       // spread directory watches after a change
+	Limits      bool `ini:"limits"`       // enforce the rate limits of accounts
+	Readers     bool `ini:"readers"`      // few nodes read the source, and the others read from them
 	ServePeers  bool `ini:"serve_peers"`  // a stopping node serves peers for a while
-	DecisionLog bool `ini:"decision_log"` // decisions are logged
+	DecisionLog bool `ini:"decision_log"` // log decisions
 }
 
-// Usual has every policy on.
+// Usual returns the default policies, with all enabled.
 func Usual() Policies {
 	return Policies{Thresholds: true, Prospects: true, Costs: true, Parts: true, Pace: true, Patience: true, ComeBack: true,
 		Repeats: true, Told: true, Speed: true, Tight: true, Explore: true, Sample: true, Vouch: true, Quarantine: true, Doubt: true, Suspicion: true,
 		Spread: true, Limits: true, Readers: true, ServePeers: true, DecisionLog: true}
 }
 
-// choose returns one of two policies.
-func choose[P any](on bool, policy, without P) P {
+// choose returns policy if on is set, and fallback otherwise.
+func choose[P any](on bool, policy, fallback P) P {
 	if on {
 		return policy
 	}
-	return without
+	return fallback
 }
 
-// Directory is the configuration of the directory that a Node is given.
+// Directory returns the configuration of the directory for a Node with these
+// policies.
 func (p Policies) Directory(l log.Interface) directory.Config {
 	cfg := directory.Usual(l)
 	cfg.AskGrace = choose(p.Vouch, cfg.AskGrace, 0)
@@ -73,7 +73,7 @@
 	return balance.Config{DC: dc, Weights: w}
 }
 
-func (p Policies) order() slots.Order {
+func (p Policies) queueOrder() slots.Order {
 	return slots.Order{Parts: p.Parts}
 }
 
@@ -85,16 +85,16 @@
 	return choose[admit.Levels](p.Costs, c, admit.Even{})
 }
 
-func (p Policies) patience() admit.Wait {
+func (p Policies) queueWait() admit.Wait {
 	return choose(p.Patience, admit.Times.Patience, admit.AllItsTime)
 }
 
-func (p Policies) comeBack() admit.Wait {
+func (p Policies) retryAfter() admit.Wait {
 	return choose(p.ComeBack, admit.Times.ComeBack, admit.InASecond)
 }
 
-func (p Policies) repeats(w budget.WindowConfig) budget.WindowConfig {
+func (p Policies) retryBudget(w budget.WindowConfig) budget.WindowConfig {
 	return choose(p.Repeats, w, budget.WindowConfig{Span: w.Span})
 }
 
-func (p Policies) decisionLines() int { return choose(p.DecisionLog, timeline.LinesPerSecond, 0) }
+func (p Policies) decisionLogRate() int { return choose(p.DecisionLog, timeline.LinesPerSecond, 0) }
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -12,7 +12,7 @@
 
 // A policy that is added without its default would be off for everybody, and
 // nothing would fail.
-func TestUsualHasEveryPolicyOn(t *testing.T) {
+func TestUsualEnablesEveryPolicy(t *testing.T) {
 	Convey("Each field is on", t, func() {
 		v := reflect.ValueOf(Usual())
 		for i := range v.NumField() {
@@ -22,7 +22,7 @@
 	})
 }
 
-func TestAPolicySwitchedOffIsAnother(t *testing.T) {
+func TestDisabledPoliciesUseFallbacks(t *testing.T) {
 	Convey("Each does without its matter", t, func() {
 		b, c := admit.NewBoard(), admit.NewCosts()
 		b.Told("read", 3, "archiv")
@@ -31,12 +31,12 @@
 		So(off.admission(b).Threshold("read"), ShouldEqual, admit.Top)
 		So(on.levels(c), ShouldEqual, c)
 		So(off.levels(c), ShouldHaveSameTypeAs, admit.Even{})
-		So(on.order(), ShouldResemble, slots.Usual())
-		So(off.order(), ShouldResemble, slots.Order{})
+		So(on.queueOrder(), ShouldResemble, slots.Usual())
+		So(off.queueOrder(), ShouldResemble, slots.Order{})
 		t := admit.Times{Left: 4e9, Target: 1e9, Usual: 2e8}
-		So(on.patience()(t), ShouldEqual, t.Patience())
-		So(off.patience()(t), ShouldEqual, t.Left)
-		So(off.comeBack()(t), ShouldEqual, 1e9)
+		So(on.queueWait()(t), ShouldEqual, t.Patience())
+		So(off.queueWait()(t), ShouldEqual, t.Left)
+		So(off.retryAfter()(t), ShouldEqual, 1e9)
 		So(off.balancer("nord").Weights.Told, ShouldEqual, 0)
 		So(on.balancer("nord").Weights.Told, ShouldEqual, 1)
 		So(off.Directory(log.Log).AskGrace, ShouldEqual, 0)
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -11,104 +11,108 @@
 )
 
 const (
-	// laneWait is how long a call of a running request waits for an isolated
-	// one, or isolated for suspects; new requests have their own patience.
-	laneWait = time.Second
-	// comeBackHeld is when to come back with a request that an isolated one
-	// kept out: two or three such take this long.
-	comeBackHeld = 500 * time.Millisecond
+	// isolationWait is how long a child request waits for conflicting
+	// isolated or suspect requests to finish. New requests set their own
+	// limit.
+	isolationWait = time.Second
+	// retryAfterHeld is the Retry-After of a request refused because of a
+	// conflicting isolated request.
+	retryAfterHeld = 500 * time.Millisecond
 )
 
-// kept is a request as quarantine knows it, and how it may run.
-type kept struct {
-	as    quarantine.Fingerprint
-	from  quarantine.Caller
-	stage quarantine.Stage // when the request came, or entered the lane
+// quarantineState identifies a request for quarantine and holds the stage
+// that applies to it.
+type quarantineState struct {
+	fingerprint quarantine.Fingerprint
+	caller      quarantine.Caller
+	stage       quarantine.Stage // when the request arrived or was admitted
 }
 
-func (n *Node) keptAs(r *call.Request) kept {
-	k := kept{as: quarantine.FingerprintOf(r), from: quarantine.Caller(r.HTTP.Caller)}
-	k.stage = n.stage(k)
-	return k
+func (n *Node) quarantineStateOf(r *call.Request) quarantineState {
+	qs := quarantineState{fingerprint: quarantine.FingerprintOf(r), caller: quarantine.Caller(r.HTTP.Caller)}
+	qs.stage = n.stage(qs)
+	return qs
 }
 
-// stage is how a request may run now.
-func (n *Node) stage(k kept) quarantine.Stage { return n.book.Stage(k.as, k.from) }
+// stage returns the current quarantine stage of a request.
+func (n *Node) stage(qs quarantineState) quarantine.Stage {
+	return n.quarantine.Stage(qs.fingerprint, qs.caller)
+}
 
-// home returns the instance at which an isolated request runs, of those not
-// tried. It goes by address: the node there knows at once when its instance
-// ends under the request, and holds the next such request, which may come to a
-// node that does not know yet. Where nothing listens it is the next's.
-func (k kept) home(all []directory.Instance, tried []directory.InstanceID) []directory.Instance {
-	var open, certain []directory.Instance
+// pinnedInstance returns the instance to which an isolated request is pinned,
+// excluding tried ones. The choice depends on addresses only, so all nodes
+// agree on it. The node there detects a crash first and can hold further
+// requests of the kind that come from nodes not yet informed.
+func (qs quarantineState) pinnedInstance(all []directory.Instance, tried []directory.InstanceID) []directory.Instance {
+	var candidates, confirmed []directory.Instance
 	for _, in := range all {
 		if in.Leaving || slices.Contains(tried, in.ID) {
 			continue
 		}
-		open = append(open, in)
+		candidates = append(candidates, in)
 		if !in.Doubtful {
-			certain = append(certain, in)
+			confirmed = append(confirmed, in)
 		}
 	}
-	if len(certain) > 0 {
-		open = certain
+	if len(confirmed) > 0 {
+		candidates = confirmed
 	}
-	return quarantine.Home(k.as, open, func(in directory.Instance) string { return in.Addr })
+	return quarantine.Home(qs.fingerprint, candidates, func(in directory.Instance) string { return in.Addr })
 }
 
-// enterLane lets a request through when it may run beside those that run at
-// the local target. Were an isolated one and another suspect in progress when
-// the instance ends, it could be either's doing.
-func (n *Node) enterLane(ctx context.Context, r *call.Request, k kept) (leave func(), ok bool) {
-	if k.stage == quarantine.Quarantined {
+// enterIsolation waits until the request may run concurrently with those at
+// the local target. An isolated request never runs together with another
+// suspect, since a crash could then not be attributed to either.
+func (n *Node) enterIsolation(ctx context.Context, r *call.Request, qs quarantineState) (leave func(), ok bool) {
+	if qs.stage == quarantine.Quarantined {
 		return nil, false
 	}
 	wait := r.HTTP.Patience
 	if wait <= 0 {
-		wait = laneWait
+		wait = isolationWait
 	}
-	return n.lane.Enter(ctx, k.stage, wait)
+	return n.isolation.Enter(ctx, qs.stage, wait)
 }
 
-// mayRun reports whether a request whose turn has come may still run: another
-// that asks for the same may have ended an instance while it waited.
-func (n *Node) mayRun(k kept) bool {
-	now := n.stage(k)
-	return now <= k.stage || now <= quarantine.Suspect
+// stillAllowed reports whether a request may run after queueing. Its stage
+// may have been raised by a crash in the meantime.
+func (n *Node) stillAllowed(qs quarantineState) bool {
+	now := n.stage(qs)
+	return now <= qs.stage || now <= quarantine.Suspect
 }
 
-// hold refuses a request that instances have ended under. It has not run; one
-// that may run at this instance only, or at none, is not sent to another.
-func (n *Node) hold(r call.Request, k kept) call.Answer {
-	a := call.Refuse(r, "instances ended under this request, and another such is running", comeBackHeld)
-	now := n.stage(k)
+// refuseHeld refuses a suspect request without executing it. Held is set if
+// the request must not be sent to another instance.
+func (n *Node) refuseHeld(r call.Request, qs quarantineState) call.Answer {
+	a := call.Refuse(r, "request may crash instances, and a conflicting request is running", retryAfterHeld)
+	now := n.stage(qs)
 	a.Held = now >= quarantine.Isolated
 	if now == quarantine.Quarantined {
-		a.Reason = "quarantined: instances ended under this request"
-		a.RetryAfter = max(a.RetryAfter, n.book.Left(k.as, k.from))
+		a.Reason = "quarantined: instances crashed while executing this request"
+		a.RetryAfter = max(a.RetryAfter, n.quarantine.Left(qs.fingerprint, qs.caller))
 	}
 	return a
 }
 
-// noteRun notes what became of a request at the local target, and tells other
-// nodes.
-func (n *Node) noteRun(k kept, a *call.Answer) {
+// recordRun records the result of a request at the local target and reports
+// changes to other nodes.
+func (n *Node) recordRun(qs quarantineState, a *call.Answer) {
 	if a.Ended != nil {
-		a.Ended.Alone = k.stage == quarantine.Isolated
+		a.Ended.Alone = qs.stage == quarantine.Isolated
 	}
-	if n.noteTry(k, a) {
-		n.tell(k.as)
+	if n.recordAttempt(qs, a) {
+		n.queueReport(qs.fingerprint)
 	}
 }
 
-// noteTry notes what became of a try of a request at any target, and reports
-// whether that is news.
-func (n *Node) noteTry(k kept, a *call.Answer) bool {
+// recordAttempt records the result of an attempt at any target and reports
+// whether the quarantine records changed.
+func (n *Node) recordAttempt(qs quarantineState, a *call.Answer) bool {
 	switch {
 	case a.Ended != nil:
-		return n.book.Ended(k.as, quarantine.End{ID: quarantine.EndID(a.Ended.ID), Caller: k.from, Alone: a.Ended.Alone})
+		return n.quarantine.Ended(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.Ended.ID), Caller: qs.caller, Alone: a.Ended.Alone})
 	case a.HTTP != nil:
-		return n.book.Answered(k.as, k.from)
+		return n.quarantine.Answered(qs.fingerprint, qs.caller)
 	}
 	return false
 }
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -26,72 +26,72 @@
 	restartAfter = 300 * time.Millisecond
 	// knownAfter is the time after the third end in which all nodes are to
 	// know of it, and furtherRuns how many instances may run the request then.
-	knownAfter  = 3 * time.Second
-	furtherRuns = 3
+	propagationLimit = 3 * time.Second
+	maxFurtherRuns   = 3
 )
 
 // frailMesh is a mesh whose targets of one service end when they run a request
 // with a fatal path, and are back under another id.
-type frailMesh struct {
+type crashMesh struct {
 	*mesh
-	frail []*vm
+	crashing []*vm
 
 	mu       sync.Mutex
-	ends     []time.Time // of instances
+	crashes  []time.Time // of instances
 	revision directory.Revision
-	idle     sync.WaitGroup
+	restarts sync.WaitGroup
 }
 
 // newFrailMesh starts one node beside a target that lives, and n beside others
 // that do not.
-func newFrailMesh(t *testing.T, n int) *frailMesh {
+func newCrashMesh(t *testing.T, n int) *crashMesh {
 	services := []string{"versand"}
 	for range n {
 		services = append(services, "archiv")
 	}
-	m := &mesh{t: t, port: freePort(t), source: quietSource{}}
-	f := &frailMesh{mesh: m.populate(services), revision: 100}
-	f.frail = f.vms[1:]
-	for _, v := range f.frail {
-		f.breakable(v)
+	m := &mesh{t: t, port: freePort(t), source: emptySource{}}
+	f := &crashMesh{mesh: m.populate(services), revision: 100}
+	f.crashing = f.vms[1:]
+	for _, v := range f.crashing {
+		f.crashOnFatal(v)
 	}
-	t.Cleanup(f.idle.Wait)
+	t.Cleanup(f.restarts.Wait)
 	return f
 }
 
 // breakable lets v's target end when it begins to run a fatal request. Other
 // requests take some time, and are cut when the target ends.
-func (f *frailMesh) breakable(v *vm) {
+func (f *crashMesh) crashOnFatal(v *vm) {
 	target := v.target
-	target.on(func(w http.ResponseWriter, r *http.Request) {
+	target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "fatal") {
 			time.Sleep(crashAfter)
-			f.end(v, target)
+			f.crashTarget(v, target)
 			return
 		}
 		time.Sleep(2 * crashAfter)
-		signed(w, r, http.StatusOK, "answer")
+		writeSigned(w, r, http.StatusOK, "answer")
 	})
 }
 
 // end ends v's target once, and starts another at its address.
-func (f *frailMesh) end(v *vm, target *fakeTarget) {
+func (f *crashMesh) crashTarget(v *vm, target *fakeTarget) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if v.target != target {
 		return
 	}
-	v.crash()
-	f.ends = append(f.ends, time.Now())
-	next := &fakeTarget{id: fmt.Sprintf("i-%s-%d", v.ip, len(f.ends)), ran: map[string]int{}}
+	v.stopTarget()
+	f.crashes = append(f.crashes, time.Now())
+	next := &fakeTarget{id: fmt.Sprintf("i-%s-%d", v.ip, len(f.crashes)), runsByID: map[string]int{}}
 	v.target = next
-	f.idle.Go(func() {
+	f.restarts.Go(func() {
 		time.Sleep(restartAfter)
-		f.startNext(v)
+		f.restartTarget(v)
 	})
 }
 
-func (f *frailMesh) startNext(v *vm) {
+func (f *crashMesh) restartTarget(v *vm) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l, err := net.Listen("tcp", v.self.Addr)
@@ -99,7 +99,7 @@
 		f.t.Error(err)
 		return
 	}
-	f.breakable(v)
+	f.crashOnFatal(v)
 	v.serve(l)
 	old := v.self.ID
 	f.revision++
@@ -110,44 +110,44 @@
 	}
 }
 
-func (f *frailMesh) ended() int {
+func (f *crashMesh) crashCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.ends)
+	return len(f.crashes)
 }
 
 // comeAgain sends the fatal request once at a node, whatever becomes of it.
-func (f *frailMesh) comeAgain(path string, i int) reply {
+func (f *crashMesh) sendTo(path string, i int) reply {
 	_, got := f.get(f.vms[i%len(f.vms)], path)
 	return got
 }
 
 // awaitAll waits until every instance is back.
-func (f *frailMesh) awaitAll() { f.idle.Wait(); time.Sleep(50 * time.Millisecond) }
+func (f *crashMesh) awaitRestarts() { f.restarts.Wait(); time.Sleep(50 * time.Millisecond) }
 
 // Users see one instance of a service after the other end, each seconds after
 // its start. A caller sends one request again and again, to any node, and each
 // instance that begins to run it ends. Nodes knew requests by their ids, which
 // are new each time, and forgot them with their answers; ended instances and
 // what they ran had to be put together from the logs of all nodes.
-func TestARequestThatEndsInstancesIsStopped(t *testing.T) {
-	f := newFrailMesh(t, 5)
+func TestCrashingRequestIsQuarantined(t *testing.T) {
+	f := newCrashMesh(t, 5)
 	Convey("After the third end few instances run it, whatever node it comes to; the same with an action", t, func() {
 		for _, path := range []string{fatalPath, "/publish/fatal"} {
-			before := f.ended()
-			for i := 0; f.ended() < before+3 && i < 20; i++ {
-				f.comeAgain(path, i)
+			before := f.crashCount()
+			for i := 0; f.crashCount() < before+3 && i < 20; i++ {
+				f.sendTo(path, i)
 				time.Sleep(100 * time.Millisecond)
 			}
-			So(f.ended(), ShouldBeGreaterThanOrEqualTo, before+3)
-			time.Sleep(knownAfter)
-			known := f.ended()
+			So(f.crashCount(), ShouldBeGreaterThanOrEqualTo, before+3)
+			time.Sleep(propagationLimit)
+			known := f.crashCount()
 			for i := range 12 {
-				got := f.comeAgain(path, i)
+				got := f.sendTo(path, i)
 				So(got.err, ShouldBeNil)
 				So(got.code, ShouldNotEqual, http.StatusOK)
 			}
-			So(f.ended()-known, ShouldBeLessThanOrEqualTo, furtherRuns)
+			So(f.crashCount()-known, ShouldBeLessThanOrEqualTo, maxFurtherRuns)
 		}
 	})
 }
@@ -155,11 +155,11 @@
 // Requests are in progress at each instance that another request ends. They
 // have done nothing: sent again, they are served, also those that were there
 // every time.
-func TestRequestsBesideOneThatEndsInstancesAreServed(t *testing.T) {
-	f := newFrailMesh(t, 5)
+func TestConcurrentRequestsAreNotQuarantined(t *testing.T) {
+	f := newCrashMesh(t, 5)
 	Convey("What was beside is served when it comes again", t, func() {
 		var beside []string
-		for i := 0; f.ended() < 3 && i < 20; i++ {
+		for i := 0; f.crashCount() < 3 && i < 20; i++ {
 			var wg sync.WaitGroup
 			for j, v := range f.vms {
 				path := fmt.Sprintf("/read/beside-%d-%d", i, j)
@@ -168,12 +168,12 @@
 				wg.Go(func() { f.get(v, "/read/beside-all") })
 			}
 			time.Sleep(crashAfter / 2)
-			f.comeAgain(fatalPath, i)
+			f.sendTo(fatalPath, i)
 			wg.Wait()
 			time.Sleep(100 * time.Millisecond)
 		}
-		So(f.ended(), ShouldBeGreaterThanOrEqualTo, 3)
-		f.awaitAll()
+		So(f.crashCount(), ShouldBeGreaterThanOrEqualTo, 3)
+		f.awaitRestarts()
 		for _, path := range append(beside, "/read/beside-all") {
 			_, got := f.get(f.vms[0], path)
 			So(path+" "+http.StatusText(got.code), ShouldEqual, path+" OK")
@@ -183,15 +183,15 @@
 
 // An instance ends under a request. Every node is to know, also one that
 // starts later and one that only asks.
-func TestNodesTellEachOtherUnderWhatInstancesEnded(t *testing.T) {
-	f := newFrailMesh(t, 5)
+func TestNodesShareSuspectRequests(t *testing.T) {
+	f := newCrashMesh(t, 5)
 	knows := func(v *vm) bool {
-		k := keptAt(v.node, fatalPath)
+		k := quarantineStateAt(v.node, fatalPath)
 		return v.node.stage(k) >= quarantine.Suspect
 	}
 	Convey("All know within a second, and a node that starts anew", t, func() {
-		f.comeAgain(fatalPath, 0)
-		So(f.ended(), ShouldBeGreaterThan, 0)
+		f.sendTo(fatalPath, 0)
+		So(f.crashCount(), ShouldBeGreaterThan, 0)
 		until := time.Now().Add(time.Second)
 		for _, v := range f.vms {
 			for !knows(v) && time.Now().Before(until) {
@@ -211,20 +211,20 @@
 }
 
 // keptAt is what a node keeps a read of a path apart by.
-func keptAt(n *Node, path string) kept {
-	return n.keptAs(&call.Request{HTTP: &call.HTTPRequest{Method: http.MethodGet, Host: "h", URI: path, Caller: n.cfg.Service}})
+func quarantineStateAt(n *Node, path string) quarantineState {
+	return n.quarantineStateOf(&call.Request{HTTP: &call.HTTPRequest{Method: http.MethodGet, Host: "h", URI: path, Caller: n.cfg.Service}})
 }
 
 // A quarantined request comes again. It has run nowhere, its caller is told so
 // at once and when to come back, and what differs in anything is served.
-func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	Convey("503 with the rest of the term, at every node; others are served", t, func() {
-		k := keptAt(m.vms[0].node, "/read/fatal")
+		k := quarantineStateAt(m.vms[0].node, "/read/fatal")
 		for i, c := range []quarantine.Caller{"versand", "versand", "archiv"} {
-			m.vms[1].node.book.Ended(k.as, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Alone: i == 2})
+			m.vms[1].node.quarantine.Ended(k.fingerprint, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Alone: i == 2})
 		}
-		m.vms[1].node.tell(k.as)
+		m.vms[1].node.queueReport(k.fingerprint)
 		time.Sleep(300 * time.Millisecond)
 		for _, v := range m.vms {
 			began := time.Now()
@@ -234,7 +234,7 @@
 			after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 			So(err, ShouldBeNil)
 			So(after, ShouldBeBetween, quarantine.Term.Seconds()-2, quarantine.Term.Seconds()+0.1)
-			So(m.vms[1].target.runs(id)+m.vms[2].target.runs(id), ShouldEqual, 0)
+			So(m.vms[1].target.runCount(id)+m.vms[2].target.runCount(id), ShouldEqual, 0)
 		}
 		for _, c := range []struct{ method, path, body string }{{http.MethodGet, "/read/other", ""}, {http.MethodGet, "/read/fatal?x", ""}, {http.MethodPost, "/read/fatal", "n"}} {
 			_, got := m.send(context.Background(), m.vms[0], c.method, c.path, c.body, nil)
@@ -248,11 +248,11 @@
 // of; it is not understood, as messages whose fields go by their place are only
 // read with the same number of them. So are requests and answers between nodes
 // of two versions.
-func TestNodesOfTwoVersionsUnderstandEachOther(t *testing.T) {
+func TestShorterDeltaRequestIsAnswered(t *testing.T) {
 	m := newMesh(t, "archiv")
 	n := m.vms[0].node
 	Convey("A question with a field less is answered", t, func() {
-		n.book.Ended(1, quarantine.End{ID: 1, Caller: "archiv"})
+		n.quarantine.Ended(1, quarantine.End{ID: 1, Caller: "archiv"})
 		body, err := msgpack.Marshal([]any{n.dir.Revision(), 200 * time.Millisecond})
 		So(err, ShouldBeNil)
 		began := time.Now()
--- /dev/null
+++ b/sidecar/report.go
@@ -0,0 +1,198 @@
+package sidecar
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/oatpin/oatpin/call"
+	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/quarantine"
+	"github.com/oatpin/oatpin/wire"
+	"github.com/rotisserie/eris"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+const (
+	// endsOperation reports target exits and the requests that were running.
+	// The request body is a quarantine.Report.
+	endsOperation = "quarantine.ends"
+	// reportBatchDelay is how long reports are collected before they are
+	// sent, because an exit affects all requests in progress. It is shorter
+	// than the time in which a caller retries.
+	reportBatchDelay = time.Millisecond
+	// updateBatchDelay is the same for long polls without urgent updates.
+	updateBatchDelay = 20 * time.Millisecond
+	// reportAttempts and reportRetryDelay bound the delivery of a report to
+	// one node. A node that misses it receives it by its long poll to
+	// another.
+	reportAttempts   = 3
+	reportRetryDelay = 300 * time.Millisecond
+)
+
+// errNotAccepted is returned if a peer refuses an operation.
+var errNotAccepted = eris.New("peer did not accept the operation")
+
+type (
+	// reportQueue collects the requests to be reported to other nodes.
+	reportQueue struct {
+		mu           sync.Mutex
+		fingerprints []quarantine.Fingerprint
+	}
+
+	// cursorTable holds the position reached in the quarantine records of
+	// each peer.
+	cursorTable struct {
+		mu      sync.Mutex
+		cursors map[membership.Addr]quarantine.Cursor
+	}
+)
+
+// queueReport schedules a report on requests to the nodes that read the
+// source for their data centres. All other nodes long-poll those.
+func (n *Node) queueReport(fingerprints ...quarantine.Fingerprint) {
+	queue := &n.reports
+	queue.mu.Lock()
+	defer queue.mu.Unlock()
+	if len(queue.fingerprints) == 0 && len(fingerprints) > 0 {
+		time.AfterFunc(reportBatchDelay, n.sendReports)
+	}
+	queue.fingerprints = append(queue.fingerprints, fingerprints...)
+}
+
+func (n *Node) sendReports() {
+	queue := &n.reports
+	queue.mu.Lock()
+	fingerprints := queue.fingerprints
+	queue.fingerprints = nil
+	queue.mu.Unlock()
+	body := n.encodeReport(n.quarantine.Of(fingerprints))
+	for _, addr := range n.member.AllReaders() {
+		go n.sendReportWithRetry(addr, body)
+	}
+}
+
+func (n *Node) sendReportWithRetry(addr membership.Addr, body []byte) {
+	var err error
+	for range reportAttempts {
+		if err = n.sendReport(addr, body); err == nil {
+			return
+		}
+		select {
+		case <-n.stop:
+			return
+		case <-time.After(reportRetryDelay):
+		}
+	}
+	n.decisions.Note("ends_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
+}
+
+func (n *Node) sendReport(addr membership.Addr, body []byte) error {
+	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
+	defer cancel()
+	a, err := n.callNode(ctx, addr, endsOperation, body)
+	if err != nil {
+		return err
+	}
+	reply, err := decodeReport(a.News)
+	if err == nil {
+		n.queueReport(n.quarantine.Learn(reply)...)
+	}
+	return err
+}
+
+// callNode sends an operation to another node. It returns errNotAccepted if
+// that node refuses it.
+func (n *Node) callNode(ctx context.Context, addr membership.Addr, operation string, body []byte) (call.Answer, error) {
+	conn, err := n.dial(ctx, wire.Peer{Addr: string(addr)})
+	if err != nil {
+		return call.Answer{}, err
+	}
+	a, err := conn.Call(ctx, call.Request{ID: call.RequestID(operation), Operation: operation, Body: body, Remaining: answerTimeout}, n.revision())
+	if err == nil && a.Status != call.OK {
+		err = eris.Wrap(errNotAccepted, a.Reason)
+	}
+	return a, err
+}
+
+// serveEnds handles endsOperation. The response contains this node's records
+// of the same requests, so that data centres synchronize after a partition.
+func (n *Node) serveEnds(r call.Request) call.Answer {
+	received, err := decodeReport(r.Body)
+	if err != nil {
+		return n.malformedAnswer(r, err)
+	}
+	n.quarantine.Learn(received)
+	return call.Answer{ID: r.ID, Status: call.OK, News: n.encodeReport(n.quarantine.Of(received.Of()))}
+}
+
+func decodeReport(b []byte) (quarantine.Report, error) {
+	var r quarantine.Report
+	err := msgpack.Unmarshal(b, &r)
+	return r, eris.Wrap(err, "decode report")
+}
+
+func (n *Node) encodeReport(r quarantine.Report) []byte {
+	b, err := msgpack.Marshal(r)
+	if err != nil {
+		n.log.WithError(err).Error("report_not_encoded")
+	}
+	return b
+}
+
+// encodeUpdate returns the quarantine records after cursor, to be sent in the
+// response to a long poll; nil if the sender keeps no records.
+func (n *Node) encodeUpdate(cursor *quarantine.Cursor) []byte {
+	if cursor == nil {
+		return nil
+	}
+	return n.encodeReport(n.quarantine.Since(*cursor))
+}
+
+// applyUpdate applies the quarantine records in another node's response. A
+// node that keeps none sends an empty update.
+func (n *Node) applyUpdate(addr membership.Addr, update []byte) {
+	if len(update) == 0 {
+		return
+	}
+	report, err := decodeReport(update)
+	if err != nil {
+		n.stats.countDecodeError()
+		n.decisions.Note("news_not_understood", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
+		return
+	}
+	n.quarantine.Learn(report)
+	n.peerCursors.set(addr, report.Next)
+}
+
+func (t *cursorTable) get(addr membership.Addr) *quarantine.Cursor {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	c := t.cursors[addr]
+	return &c
+}
+
+func (t *cursorTable) set(addr membership.Addr, cursor quarantine.Cursor) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.cursors[addr] = cursor
+}
+
+// cancelOnUpdate calls cancel on an update: immediately if it is urgent,
+// otherwise after updateBatchDelay. It returns early when ctx ends.
+func cancelOnUpdate(ctx context.Context, updates quarantine.News, cancel context.CancelFunc) {
+	defer cancel()
+	select {
+	case <-updates.Any:
+	case <-updates.Urgent:
+		return
+	case <-ctx.Done():
+		return
+	}
+	select {
+	case <-time.After(updateBatchDelay):
+	case <-updates.Urgent:
+	case <-ctx.Done():
+	}
+}
--- a/sidecar/running.go
+++ b/sidecar/running.go
@@ -10,36 +10,38 @@
 )
 
 type (
-	// running knows the requests that the local target works on, to tell
-	// whose calls it makes: a target sends its calls with ids that extend
-	// the id of the request they are made for, by a dot and a part of their
-	// own. One whose ids do not is served all the same, as a new request.
-	running struct {
+	// runningRequests holds the requests in progress at the local target, to
+	// recognize the child requests that it sends for them. The id of a child
+	// request is its parent's id followed by a dot and a suffix. Requests
+	// with other ids are handled as new ones. Safe for concurrent use.
+	runningRequests struct {
 		mu   sync.Mutex
-		byID map[call.RequestID]run
+		byID map[call.RequestID]runningRequest
 	}
 
-	// run is one request at the local target.
-	run struct {
-		route  string
-		level  call.Level
-		repeat bool
-		broken bool          // a call made for it has failed
-		scarce time.Duration // slot time its calls took at targets short of room
-		work   *slots.Run
+	// runningRequest is one request in progress at the local target.
+	runningRequest struct {
+		route         string
+		level         call.Level
+		retry         bool
+		childFailed   bool          // some child request has failed
+		saturatedTime time.Duration // slot time used by child requests at saturated targets
+		progress      *slots.Run
 	}
 )
 
-func newRunning() *running { return &running{byID: map[call.RequestID]run{}} }
+func newRunningRequests() *runningRequests {
+	return &runningRequests{byID: map[call.RequestID]runningRequest{}}
+}
 
-func (r *running) add(id call.RequestID, v run) {
+func (r *runningRequests) add(id call.RequestID, v runningRequest) {
 	r.mu.Lock()
 	r.byID[id] = v
 	r.mu.Unlock()
 }
 
-// remove forgets a request that ended and returns what was known of it.
-func (r *running) remove(id call.RequestID) run {
+// remove deletes a finished request and returns its record.
+func (r *runningRequests) remove(id call.RequestID) runningRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v := r.byID[id]
@@ -47,39 +49,39 @@
 	return v
 }
 
-// called notes how a call made for a running request ended, and the slot time
-// it took at targets that are short of room.
-func (r *running) called(callID call.RequestID, failed bool, scarce time.Duration) {
-	parent, ok := parentID(callID)
+// childEnded records the result of a child request and the slot time that it
+// used at saturated targets.
+func (r *runningRequests) childEnded(childID call.RequestID, failed bool, saturated time.Duration) {
+	parent, ok := parentID(childID)
 	if !ok {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if v, ok := r.byID[parent]; ok {
-		v.broken = v.broken || failed
-		v.scarce += scarce
+		v.childFailed = v.childFailed || failed
+		v.saturatedTime += saturated
 		r.byID[parent] = v
-		v.work.Return()
+		v.progress.Return()
 	}
 }
 
-// calling notes that a call is made for a running request, and returns that.
-func (r *running) calling(id call.RequestID) (run, bool) {
+// childStarted records the start of a child request and returns its parent.
+func (r *runningRequests) childStarted(id call.RequestID) (runningRequest, bool) {
 	parent, ok := parentID(id)
 	if !ok {
-		return run{}, false
+		return runningRequest{}, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	v, ok := r.byID[parent]
 	if ok {
-		v.work.Call()
+		v.progress.Call()
 	}
 	return v, ok
 }
 
-// parentID returns the id that a call's id extends.
+// parentID returns the id of the parent request.
 func parentID(id call.RequestID) (call.RequestID, bool) {
 	i := strings.LastIndexByte(string(id), '.')
 	if i < 0 {
--- a/sidecar/self_test.go
+++ b/sidecar/self_test.go
@@ -14,12 +14,12 @@
 // their targets. Nobody notices until an instance is replaced: then nobody
 // hears of the new one, for minutes, as no node takes itself for one of those
 // that are to read the store.
-func TestANodeKnowsTheAddressByWhichOthersKnowIt(t *testing.T) {
+func TestNodeIdentityMatchesPeerAddress(t *testing.T) {
 	Convey("It is the one that they work out from the instance beside it", t, func() {
 		lg := &log.Logger{Handler: discard.New()}
 		n, err := New(Config{Name: "n", Peer: "0.0.0.0:7620", Target: "10.1.0.8:8301", Headers: testHeaders, Policies: Usual(), Directory: directory.New(directory.Usual(lg)), Log: lg})
 		So(err, ShouldBeNil)
-		others, err := n.peerOf(directory.Instance{Addr: "10.1.0.8:8301"})
+		others, err := n.peerFor(directory.Instance{Addr: "10.1.0.8:8301"})
 		So(err, ShouldBeNil)
 		So(n.member.Self(), ShouldEqual, membership.Addr(others.Addr))
 	})
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// firstWork is taken as the time a route's requests take at the target
-	// until one is measured.
-	firstWork = 50 * time.Millisecond
-	// slowTimes is how many times its usual time a request must have had for
-	// its missing answer to speak against the instance; by chance alone one
-	// in a hundred takes that long.
-	slowTimes = 2
-	// paceProbes is the part of its slots that a target which is too slow for
-	// what comes is given all the same: three of fifty show within a second
-	// that it is as before, and fail if it is not.
-	paceProbes = 16
+	// initialTargetTime is the assumed execution time of a route without
+	// measurements.
+	initialTargetTime = 50 * time.Millisecond
+	// slowFactor is the multiple of the mean execution time that a timed-out
+	// request must have had before the timeout counts as a failure of the
+	// instance.
+	slowFactor = 2
+	// probeSlotDivisor limits requests to a slow target: it receives them
+	// only while at most 1/probeSlotDivisor of its slots are busy, so that
+	// its recovery is noticed.
+	probeSlotDivisor = 16
 )
 
-// servePeer serves a request that came from another node.
+// servePeer handles a request from another node.
 func (n *Node) servePeer(ctx context.Context, r call.Request) call.Answer {
 	if r.HTTP == nil {
-		return n.serveNode(ctx, r)
+		return n.serveOperation(ctx, r)
 	}
-	if since, leaving := n.leavingSince(); leaving && since > choose(n.cfg.Policies.ServePeers, peersAfter, 0) {
-		a := call.Refuse(r, "node is leaving", 0)
+	if since, draining := n.drainingSince(); draining && since > choose(n.cfg.Policies.ServePeers, peerDrainDelay, 0) {
+		a := call.Refuse(r, "node is shutting down", 0)
 		a.Leaving = true
 		return a
 	}
 	return n.serveLocal(ctx, r)
 }
 
-// serveNode answers another node's own question. Requests by route never come
-// here, whatever their route is called.
-func (n *Node) serveNode(ctx context.Context, r call.Request) call.Answer {
+// serveOperation handles a node operation. Requests forwarded by route are
+// never handled here, even if a route has the name of an operation.
+func (n *Node) serveOperation(ctx context.Context, r call.Request) call.Answer {
 	switch r.Operation {
 	case sinceOperation:
 		return n.serveSince(ctx, r)
@@ -53,101 +53,104 @@
 	case usageOperation:
 		return n.serveUsage(r)
 	}
-	return call.Refuse(r, "not a request by route", 0)
+	return call.Refuse(r, "unknown node operation", 0)
 }
 
-// serveLocal serves a request by the local target within the time it has.
-// ctx ends when the caller has left.
+// serveLocal serves a request by the local target within the time it has
+// left. ctx ends when the caller disconnects.
 func (n *Node) serveLocal(ctx context.Context, r call.Request) call.Answer {
 	ctx, cancel := context.WithTimeout(ctx, r.Remaining)
 	defer cancel()
-	return n.serve(ctx, r)
+	return n.serveTarget(ctx, r)
 }
 
-// serve lets a request through to the local target, if it may run here.
-func (n *Node) serve(ctx context.Context, r call.Request) call.Answer {
+// serveTarget serves a request by the local target unless it was sent to
+// another instance or quarantine prevents it.
+func (n *Node) serveTarget(ctx context.Context, r call.Request) call.Answer {
 	if self := n.self.Load(); self != nil && string(self.ID) != r.To {
-		// The sender's list is older than the reuse of this address.
-		a := call.Refuse(r, "another instance is here", 0)
+		// The sender's directory is outdated: the address has been reused.
+		a := call.Refuse(r, "address belongs to another instance", 0)
 		a.Leaving = true
 		return a
 	}
-	k := n.keptAs(&r)
-	leave, ok := n.enterLane(ctx, &r, k)
+	qs := n.quarantineStateOf(&r)
+	leave, ok := n.enterIsolation(ctx, &r, qs)
 	if !ok {
-		return n.withLoad(r, n.hold(r, k))
+		return n.withLoad(r, n.refuseHeld(r, qs))
 	}
 	defer leave()
-	return n.serveInTurn(ctx, r, k)
+	return n.serveQueued(ctx, r, qs)
 }
 
-// serveInTurn lets a request through to the local target when its turn comes.
-func (n *Node) serveInTurn(ctx context.Context, r call.Request, k kept) call.Answer {
+// serveQueued queues a request for a slot of the local target and executes
+// it.
+func (n *Node) serveQueued(ctx context.Context, r call.Request, qs quarantineState) call.Answer {
 	deadline, _ := ctx.Deadline()
-	if !n.inTime(r, deadline) {
-		return n.withLoad(r, call.Refuse(r, "target: too slow for the time left", 0))
+	if !n.canMeetDeadline(r, deadline) {
+		return n.withLoad(r, call.Refuse(r, "target is too slow for the remaining time", 0))
 	}
-	n.board.See(r.HTTP.Level)
-	n.meter.Arrive(r.HTTP.Level, n.work.Mean(r.Operation, firstWork), n.gate.Waiting())
+	n.thresholds.See(r.HTTP.Level)
+	n.meter.Arrive(r.HTTP.Level, n.targetTimes.Mean(r.Operation, initialTargetTime), n.gate.Waiting())
 	waited, err := n.gate.Enter(ctx, slots.Ticket{Level: r.HTTP.Level, Deadline: deadline, Patience: r.HTTP.Patience})
-	n.stats.waited(r.HTTP.Begun, err == nil, waited)
+	n.stats.observeQueueWait(r.HTTP.Begun, err == nil, waited)
 	if err != nil {
 		a := call.Refuse(r, "target: "+err.Error()+" after "+waited.String(), 0)
 		a.Leaving = errors.Is(err, slots.ErrLeaving)
 		return n.withLoad(r, a)
 	}
-	if !n.mayRun(k) {
+	if !n.stillAllowed(qs) {
 		n.gate.Leave(0)
-		return n.withLoad(r, n.hold(r, k))
+		return n.withLoad(r, n.refuseHeld(r, qs))
 	}
 	if !r.HTTP.Idempotent {
-		// Its caller may leave or the sender's connection break: once begun,
-		// an action goes on to its end, or nobody could say whether it ran.
+		// A non-idempotent request that has started continues when the caller
+		// disconnects or the sender's connection fails. Otherwise its outcome
+		// would be unknown.
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), deadline)
 		defer cancel()
 	}
-	work := n.pace.Begin(r.Operation)
-	n.running.add(r.ID, run{route: r.Operation, level: r.HTTP.Level, repeat: r.HTTP.Repeat, work: work})
+	progress := n.pace.Begin(r.Operation)
+	n.running.add(r.ID, runningRequest{route: r.Operation, level: r.HTTP.Level, retry: r.HTTP.Repeat, progress: progress})
 	began := time.Now()
 	a := n.callTarget(ctx, r, deadline)
 	took := time.Since(began)
-	n.noteRun(k, &a)
-	was := n.running.remove(r.ID)
-	work.End(a.Status == call.OK)
-	n.health.Note(n.targetFailed(ctx, r, a, was, took))
-	scarce := was.scarce
+	n.recordRun(qs, &a)
+	finished := n.running.remove(r.ID)
+	progress.End(a.Status == call.OK)
+	n.health.Note(n.targetFailed(ctx, r, a, finished, took))
+	saturated := finished.saturatedTime
 	if n.meter.Threshold() < admit.Top {
-		scarce += took
+		saturated += took
 	}
 	if a.Status != call.OK {
 		took = 0
 	} else {
-		n.work.Took(r.Operation, took)
+		n.targetTimes.Took(r.Operation, took)
 	}
 	n.gate.Leave(took)
 	a = n.withLoad(r, a)
-	a.Load.Scarce = scarce
+	a.Load.Scarce = saturated
 	return a
 }
 
-// inTime reports whether the local target can do a request in the time that
-// is left, at its present pace. One that turned slow would take it, fail it at
-// its deadline and lose the work of all requests above; refused at once, it is
-// done by another instance. A few go to it all the same, to show its pace.
-func (n *Node) inTime(r call.Request, deadline time.Time) bool {
+// canMeetDeadline reports whether the local target can finish a request
+// before its deadline at its current pace. If it cannot, another instance can
+// still execute the request. A few requests are let through anyway, to
+// measure the pace.
+func (n *Node) canMeetDeadline(r call.Request, deadline time.Time) bool {
 	if !n.cfg.Policies.Pace || n.pace.Needs(r.Operation) <= time.Until(deadline) {
 		return true
 	}
 	l := n.gate.Load()
-	return l.Busy <= l.Limit/paceProbes
+	return l.Busy <= l.Limit/probeSlotDivisor
 }
 
-// targetFailed reports whether the local target failed a request by itself:
-// not when its caller has left, when a call that it made was refused or
-// failed elsewhere, or when it was given less time than it usually takes.
-func (n *Node) targetFailed(ctx context.Context, r call.Request, a call.Answer, was run, took time.Duration) bool {
-	if a.Status == call.OK || was.broken || errors.Is(ctx.Err(), context.Canceled) {
+// targetFailed reports whether a failure is the local target's own. It is not
+// if the caller disconnected, a child request was refused or failed, or the
+// deadline was shorter than the route's usual execution time.
+func (n *Node) targetFailed(ctx context.Context, r call.Request, a call.Answer, finished runningRequest, took time.Duration) bool {
+	if a.Status == call.OK || finished.childFailed || errors.Is(ctx.Err(), context.Canceled) {
 		return false
 	}
 	code := 0
@@ -158,40 +161,40 @@
 	case a.Status == call.Failed && code < http.StatusInternalServerError:
 		return false
 	case ctx.Err() != nil || code == http.StatusGatewayTimeout:
-		return took >= slowTimes*n.work.Mean(r.Operation, 0)
+		return took >= slowFactor*n.targetTimes.Mean(r.Operation, 0)
 	}
 	return true
 }
 
-// withLoad adds how busy the target is, and up to which level the targets
-// are not too busy that a request by this route meets.
+// withLoad adds the load of the local target and the lowest admission
+// threshold on the path of the request's route.
 func (n *Node) withLoad(r call.Request, a call.Answer) call.Answer {
 	l := n.gate.Load()
 	l.Failing, l.Slow = n.health.Failing(), n.pace.Slow()
-	l.Admit, l.Binds = n.board.Below(r.Operation)
-	if own := n.meter.Threshold(); own < l.Admit {
-		l.Admit, l.Binds = own, n.cfg.Service
+	l.Admit, l.Binds = n.thresholds.Below(r.Operation)
+	if local := n.meter.Threshold(); local < l.Admit {
+		l.Admit, l.Binds = local, n.cfg.Service
 	}
 	a.Load = &l
 	return a
 }
 
-// callTarget hands a request to the local target.
+// callTarget sends a request to the local target.
 func (n *Node) callTarget(ctx context.Context, r call.Request, deadline time.Time) call.Answer {
-	left := time.Until(deadline).Milliseconds()
-	if left <= 0 {
+	remaining := time.Until(deadline).Milliseconds()
+	if remaining <= 0 {
 		return call.Refuse(r, "deadline passed", 0)
 	}
-	names := n.cfg.Headers
+	headers := n.cfg.Headers
 	h := make(http.Header, len(r.HTTP.Header)+3)
 	for _, f := range r.HTTP.Header {
 		h[f.Name] = append(h[f.Name], f.Value)
 	}
-	h.Set(names.Deadline, strconv.FormatInt(left, 10))
-	h.Set(names.ExpectedInstance, r.To)
-	h.Set(names.CallerService, r.HTTP.Caller)
+	h.Set(headers.Deadline, strconv.FormatInt(remaining, 10))
+	h.Set(headers.ExpectedInstance, r.To)
+	h.Set(headers.CallerService, r.HTTP.Caller)
 	began := time.Now()
-	got, err := n.target.Do(ctx, &targetconn.Request{ID: r.ID, Method: r.HTTP.Method, Host: r.HTTP.Host, URI: r.HTTP.URI, Header: h, Body: r.Body})
+	resp, err := n.target.Do(ctx, &targetconn.Request{ID: r.ID, Method: r.HTTP.Method, Host: r.HTTP.Host, URI: r.HTTP.URI, Header: h, Body: r.Body})
 	switch {
 	case errors.Is(err, targetconn.ErrNotSent):
 		if errors.Is(err, targetconn.ErrNobody) {
@@ -199,33 +202,34 @@
 		}
 		return call.Refuse(r, err.Error(), 0)
 	case err != nil:
-		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), Reached: true, Ended: n.endedUnder(ctx, &r, began)}
+		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), Reached: true, Ended: n.targetExitDuring(ctx, &r, began)}
 	}
-	return n.judge(r, got)
+	return n.classifyAnswer(r, resp)
 }
 
-// judge says what a target's answer means.
-func (n *Node) judge(r call.Request, got *targetconn.Answer) call.Answer {
-	names := n.cfg.Headers
+// classifyAnswer maps a target's response to a call status.
+func (n *Node) classifyAnswer(r call.Request, resp *targetconn.Answer) call.Answer {
+	headers := n.cfg.Headers
 	a := call.Answer{ID: r.ID, Reached: true}
 	switch {
-	case got.Header.Get(names.NotExecuted) != "" || got.Code == http.StatusMisdirectedRequest:
+	case resp.Header.Get(headers.NotExecuted) != "" || resp.Code == http.StatusMisdirectedRequest:
 		a.Status = call.NotRun
-		a.Reason = "target refused: " + strconv.Itoa(got.Code)
-		a.Leaving = got.Code == http.StatusMisdirectedRequest
+		a.Reason = "target refused: " + strconv.Itoa(resp.Code)
+		a.Leaving = resp.Code == http.StatusMisdirectedRequest
 		return a
-	case got.Header.Get(names.Signature) == "" || got.Header.Get("Content-Encoding") != "":
-		// Not the target's own answer, or not its body: it may have run.
+	case resp.Header.Get(headers.Signature) == "" || resp.Header.Get("Content-Encoding") != "":
+		// The response is not from the target itself, or its body was encoded
+		// on the way. The request may have been executed.
 		a.Status = call.Unknown
-		a.Reason = "answer " + strconv.Itoa(got.Code) + " is not the target's own"
+		a.Reason = "response " + strconv.Itoa(resp.Code) + " was not sent by the target itself or was modified"
 		return a
-	case got.Code >= 200 && got.Code < 300:
+	case resp.Code >= 200 && resp.Code < 300:
 		a.Status = call.OK
 	default:
 		a.Status = call.Failed
-		a.Reason = "target answered " + strconv.Itoa(got.Code)
+		a.Reason = "target returned " + strconv.Itoa(resp.Code)
 	}
-	a.HTTP = &call.HTTPAnswer{Code: got.Code, Header: endToEnd(got.Header, lengthField)}
-	a.Body = got.Body
+	a.HTTP = &call.HTTPAnswer{Code: resp.Code, Header: endToEnd(resp.Header, contentLength)}
+	a.Body = resp.Body
 	return a
 }
--- a/sidecar/short_grace_test.go
+++ b/sidecar/short_grace_test.go
@@ -12,11 +12,11 @@
 // their reads until 2.8 s, waited for answers until 2.7 s, and closed: a read
 // that it took at 2.5 s ran at an instance behind a slow link, and its caller
 // saw the connection end without an answer.
-func TestAStoppingNodeTakesNothingItCannotSeeThrough(t *testing.T) {
+func TestDrainingNodeRefusesNewRequestsEarly(t *testing.T) {
 	m := newMesh(t, "archiv")
 	v := m.vms[0]
 	at := func(since time.Duration) int {
-		v.node.leaving.Store(time.Now().Add(-since).UnixNano())
+		v.node.drainStart.Store(time.Now().Add(-since).UnixNano())
 		_, got := m.get(v, "/read/x")
 		return got.code
 	}
@@ -25,6 +25,6 @@
 		So(at(time.Second), ShouldEqual, http.StatusOK)
 		So(at(1600*time.Millisecond), ShouldEqual, http.StatusServiceUnavailable)
 		So(at(2500*time.Millisecond), ShouldEqual, http.StatusServiceUnavailable)
-		v.node.leaving.Store(0)
+		v.node.drainStart.Store(0)
 	})
 }
--- a/sidecar/stats_test.go
+++ b/sidecar/stats_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func metricsOf(v *vm) string {
+func readMetrics(v *vm) string {
 	resp, err := http.Get("http://" + v.node.cfg.Metrics + "/metrics")
 	So(err, ShouldBeNil)
 	defer resp.Body.Close()
@@ -20,7 +20,7 @@
 }
 
 // lineOf returns the line of a metric whose name and labels begin so.
-func lineOf(text, name string, labels ...string) string {
+func metricLine(text, name string, labels ...string) string {
 next:
 	for _, l := range strings.Split(text, "\n") {
 		if !strings.HasPrefix(l, name+"{") {
@@ -38,7 +38,7 @@
 
 // An engineer sees from a node's metrics alone what callers got, how long it
 // took, and why requests were refused.
-func TestMetricsTellWhatCallersGot(t *testing.T) {
+func TestMetricsReportOutcomes(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("Outcomes by service and class, tries, waits, refusals by cause, and beliefs", t, func() {
 		for range 3 {
@@ -46,21 +46,21 @@
 		}
 		m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		m.get(m.vms[0], "/none/")
-		m.vms[0].node.board.Told("read", 0, "archiv")
+		m.vms[0].node.thresholds.Told("read", 0, "archiv")
 		for range 40 { // a part of sixteen is still admitted
 			m.get(m.vms[0], "/read/x")
 		}
-		text := metricsOf(m.vms[0])
-		So(lineOf(text, "oatpin_request_duration_seconds_count", `class="action"`, `service="archiv"`, `status="ok"`), ShouldEndWith, " 1")
-		So(lineOf(text, "oatpin_request_duration_seconds_bucket", `class="idempotent"`, `route="read"`), ShouldNotBeEmpty)
-		So(lineOf(text, "oatpin_try_duration_seconds_count", `status="ok"`), ShouldNotBeEmpty)
-		So(lineOf(text, "oatpin_refused_total", `cause="no_route"`), ShouldEndWith, " 1")
-		So(lineOf(text, "oatpin_refused_total", `cause="overload"`), ShouldNotBeEmpty)
-		So(lineOf(text, "oatpin_routes_version"), ShouldEndWith, " 1")
-		So(lineOf(text, "oatpin_source_away"), ShouldEndWith, " 0")
-		text = metricsOf(m.vms[1])
-		So(lineOf(text, "oatpin_turn_wait_seconds_count", `admitted="true"`), ShouldNotBeEmpty)
-		So(lineOf(text, "oatpin_target_limit"), ShouldEndWith, " 19")
+		text := readMetrics(m.vms[0])
+		So(metricLine(text, "oatpin_request_duration_seconds_count", `class="action"`, `service="archiv"`, `status="ok"`), ShouldEndWith, " 1")
+		So(metricLine(text, "oatpin_request_duration_seconds_bucket", `class="idempotent"`, `route="read"`), ShouldNotBeEmpty)
+		So(metricLine(text, "oatpin_try_duration_seconds_count", `status="ok"`), ShouldNotBeEmpty)
+		So(metricLine(text, "oatpin_refused_total", `cause="no_route"`), ShouldEndWith, " 1")
+		So(metricLine(text, "oatpin_refused_total", `cause="overload"`), ShouldNotBeEmpty)
+		So(metricLine(text, "oatpin_routes_version"), ShouldEndWith, " 1")
+		So(metricLine(text, "oatpin_source_away"), ShouldEndWith, " 0")
+		text = readMetrics(m.vms[1])
+		So(metricLine(text, "oatpin_turn_wait_seconds_count", `admitted="true"`), ShouldNotBeEmpty)
+		So(metricLine(text, "oatpin_target_limit"), ShouldEndWith, " 19")
 	})
 }
 
@@ -70,6 +70,6 @@
 	rt := &testRoutes[0]
 	b.ReportAllocs()
 	for b.Loop() {
-		s.answered(rt, "archiv", "ok", 1)
+		s.observeRequest(rt, "archiv", "ok", 1)
 	}
 }
--- /dev/null
+++ b/sidecar/tuning.go
@@ -0,0 +1,24 @@
+package sidecar
+
+import "github.com/oatpin/oatpin/budget"
+
+// Tune applies a new tuning and resets the retry budgets. Safe for concurrent
+// use.
+func (n *Node) Tune(t Tuning) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.tuning.Store(&t)
+	n.retryBudgets = map[string]*budget.Window{}
+}
+
+// retryBudget returns the retry budget of a service.
+func (n *Node) retryBudget(service string) *budget.Window {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	w := n.retryBudgets[service]
+	if w == nil {
+		w = budget.NewWindow(n.cfg.Policies.retryBudget(n.tuning.Load().Repeats))
+		n.retryBudgets[service] = w
+	}
+	return w
+}
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -11,24 +11,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// usageOperation tells a node what another let in of accounts with limits; the
-// body is an account.Report, the answer's account.Standings.
+// usageOperation reports the requests that a node admitted for accounts with
+// rate limits. The request body is an account.Report, the response body
+// account.Standings.
 const usageOperation = "account.usage"
 
-// newExchange keeps the node's limiter up to date. The nodes that read the
-// source for their data centres collect: all know the same ones.
+// newExchange returns the exchange that shares account usage between nodes.
+// The nodes that read the source for their data centres collect the reports;
+// every node knows which they are.
 func (n *Node) newExchange() *account.Exchange {
 	return account.NewExchange(account.ExchangeConfig{
 		Self: account.Source(n.member.Self()), DC: account.Source(n.cfg.DC),
-		Book: n.accounts, Nodes: n.collectors, Tell: n.tellUsage,
-		Failed: func(at account.Source, err error) {
-			n.note.Note("usage_not_told", func() log.Fields { return log.Fields{"peer": at, "error": err.Error()} })
+		Book: n.accountBook, Nodes: n.collectors, Tell: n.reportUsage,
+		Failed: func(addr account.Source, err error) {
+			n.decisions.Note("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 		},
 	}, n.limiter)
 }
 
-// accounts are those of the version in force; nil for none.
-func (n *Node) accounts() *account.Book {
+// accountBook returns the accounts of the current routes; nil for none.
+func (n *Node) accountBook() *account.Book {
 	if r := n.dir.View().Routes; r != nil {
 		return r.Accounts
 	}
@@ -43,39 +45,39 @@
 	return sources(near), others, total
 }
 
-func sources(of []membership.Addr) []account.Source {
-	out := make([]account.Source, 0, len(of))
-	for _, a := range of {
+func sources(addrs []membership.Addr) []account.Source {
+	out := make([]account.Source, 0, len(addrs))
+	for _, a := range addrs {
 		out = append(out, account.Source(a))
 	}
 	return out
 }
 
-func (n *Node) tellUsage(ctx context.Context, at account.Source, r account.Report) ([]account.Standing, error) {
+func (n *Node) reportUsage(ctx context.Context, addr account.Source, r account.Report) ([]account.Standing, error) {
 	body, err := msgpack.Marshal(r)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode usage")
 	}
-	a, err := n.callNode(ctx, membership.Addr(at), usageOperation, body)
+	a, err := n.callNode(ctx, membership.Addr(addr), usageOperation, body)
 	if err != nil {
 		return nil, err
 	}
-	var told account.Standings
-	err = msgpack.Unmarshal(a.Body, &told)
-	return told.Of, eris.Wrap(err, "decode standings")
+	var reply account.Standings
+	err = msgpack.Unmarshal(a.Body, &reply)
+	return reply.Of, eris.Wrap(err, "decode standings")
 }
 
-// serveUsage takes in what another node let in. A node that stops says so: its
-// counts would go with it.
+// serveUsage handles usageOperation. A stopping node refuses reports, because
+// the counts would be lost with it.
 func (n *Node) serveUsage(r call.Request) call.Answer {
-	if _, leaving := n.leavingSince(); leaving {
-		return call.Refuse(r, "node is leaving", 0)
+	if _, draining := n.drainingSince(); draining {
+		return call.Refuse(r, "node is shutting down", 0)
 	}
-	var told account.Report
-	if err := msgpack.Unmarshal(r.Body, &told); err != nil {
-		return n.notUnderstood(r, err)
+	var received account.Report
+	if err := msgpack.Unmarshal(r.Body, &received); err != nil {
+		return n.malformedAnswer(r, err)
 	}
-	body, err := msgpack.Marshal(account.Standings{Of: n.exchange.Take(told)})
+	body, err := msgpack.Marshal(account.Standings{Of: n.exchange.Take(received)})
 	if err != nil {
 		n.log.WithError(err).Error("standings_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
--- a/sidecar/versions_test.go
+++ b/sidecar/versions_test.go
@@ -10,16 +10,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-var asked = question{After: 300, Wait: time.Second, Told: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
+var testRequest = deltaRequest{After: 300, Wait: time.Second, Told: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
 
 // A node of the version before asks ours for routes and instances, and ours
 // asks it.
-func TestQuestionsOfTheVersionBeforeAreOurs(t *testing.T) {
+func TestDeltaRequestWireCompatibility(t *testing.T) {
 	Convey("Its question is read whole, and ours is the same to it", t, func() {
-		var got question
+		var got deltaRequest
 		So(msgpack.Unmarshal(messagetest.Former(t, "question"), &got), ShouldBeNil)
-		So(got, ShouldResemble, asked)
-		ours, err := msgpack.Marshal(asked)
+		So(got, ShouldResemble, testRequest)
+		ours, err := msgpack.Marshal(testRequest)
 		So(err, ShouldBeNil)
 		So(ours, ShouldResemble, messagetest.Former(t, "question"))
 	})
@@ -29,7 +29,7 @@
 func FuzzQuestion(f *testing.F) {
 	f.Add(messagetest.Former(f, "question"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var got question
+		var got deltaRequest
 		if msgpack.Unmarshal(b, &got) != nil {
 			return
 		}
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -19,65 +19,65 @@
 )
 
 const (
-	// vouchOperation asks the node beside an instance whether it vouches for
-	// it; the body is the directory.Start.
+	// vouchOperation asks the node of an instance whether it vouches for it.
+	// The request body is the directory.Start.
 	vouchOperation = "instance.vouch"
-	// vouchWait bounds one question: the other node's look, and the way.
-	vouchWait = vouch.LookWait + 150*time.Millisecond
+	// vouchTimeout bounds one request, including the check at the other node.
+	vouchTimeout = vouch.LookWait + 150*time.Millisecond
 )
 
-// errNoSource is returned where a node has no source to ask.
-var errNoSource = eris.New("no source of instances")
+// errNoSource is returned by a node without a directory source.
+var errNoSource = eris.New("no directory source")
 
-// asking are the unlisted instances whose nodes are being asked.
-type asking struct {
-	mu     sync.Mutex
-	starts map[directory.Start]bool
+// pendingQueries holds the unlisted instances whose nodes are being queried.
+// Safe for concurrent use.
+type pendingQueries struct {
+	mu      sync.Mutex
+	pending map[directory.Start]bool
 }
 
-// begin reports whether nobody asks for this start yet, and notes that
-// somebody does now.
-func (a *asking) begin(at directory.Start) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.starts[at] {
+// begin marks start as pending and reports whether it was not pending before.
+func (p *pendingQueries) begin(start directory.Start) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.pending[start] {
 		return false
 	}
-	a.starts[at] = true
+	p.pending[start] = true
 	return true
 }
 
-func (a *asking) end(at directory.Start) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	delete(a.starts, at)
+func (p *pendingQueries) end(start directory.Start) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.pending, start)
 }
 
-// askAfter asks the nodes of the instances that a view keeps unlisted. An
-// instance that this node has not sent to, or thought of sending to, is of no
-// concern here: with a thousand nodes, only those that use an instance ask.
-func (n *Node) askAfter(v *directory.View) {
+// queryUnlisted queries the nodes of unlisted instances in a view. Only
+// instances that the balancer has considered are queried, which limits the
+// queries in large deployments.
+func (n *Node) queryUnlisted(v *directory.View) {
 	if !n.cfg.Policies.Vouch {
 		return
 	}
 	for _, in := range v.All() {
-		if in.Unlisted && (in.Addr == n.cfg.Target || n.balancer.Knows(in.Start())) && n.asking.begin(in.Start()) {
-			go n.follow(in)
+		if in.Unlisted && (in.Addr == n.cfg.Target || n.balancer.Knows(in.Start())) && n.vouchQueries.begin(in.Start()) {
+			go n.trackUnlisted(in)
 		}
 	}
 }
 
-// follow asks for an unlisted instance again and again until it is listed, or
-// its node does not vouch for it, or cannot be reached for a whole term.
-func (n *Node) follow(in directory.Instance) {
-	defer n.asking.end(in.Start())
+// trackUnlisted queries the node of an unlisted instance periodically until
+// the instance is listed or removed.
+func (n *Node) trackUnlisted(in directory.Instance) {
+	defer n.vouchQueries.end(in.Start())
 	t := time.NewTicker(vouch.RenewEvery)
 	defer t.Stop()
 	for {
-		switch word, err := n.askVouch(in); {
+		switch vouched, err := n.requestVouch(in); {
 		case err != nil:
-			n.note.Note("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
-		case word:
+			n.decisions.Note("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
+		case vouched:
 			n.dir.Vouched(in.Start(), time.Now().Add(vouch.Term))
 		default:
 			n.dir.Disown(in.Start())
@@ -93,15 +93,15 @@
 	}
 }
 
-// askVouch asks the node beside an instance for its word. An error means that
-// the node could not be reached or gave none.
-func (n *Node) askVouch(in directory.Instance) (bool, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), vouchWait)
+// requestVouch asks the node of an instance whether it vouches for it. An
+// error means that the node could not be reached or gave no answer.
+func (n *Node) requestVouch(in directory.Instance) (bool, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), vouchTimeout)
 	defer cancel()
 	if in.Addr == n.cfg.Target {
 		return n.vouch(ctx, in.Start()), nil
 	}
-	peer, err := n.peerOf(in)
+	peer, err := n.peerFor(in)
 	if err != nil {
 		return false, err
 	}
@@ -113,7 +113,7 @@
 	if err != nil {
 		return false, err
 	}
-	r := call.Request{ID: call.RequestID(vouchOperation + "." + string(in.ID)), Operation: vouchOperation, Body: body, Remaining: vouchWait}
+	r := call.Request{ID: call.RequestID(vouchOperation + "." + string(in.ID)), Operation: vouchOperation, Body: body, Remaining: vouchTimeout}
 	a, err := conn.Call(ctx, r, n.revision())
 	if err != nil {
 		return false, err
@@ -127,32 +127,32 @@
 	return false, eris.New(a.Reason)
 }
 
-// serveVouch answers another node's question for this node's word.
+// serveVouch handles vouchOperation.
 func (n *Node) serveVouch(ctx context.Context, r call.Request) call.Answer {
-	var at directory.Start
-	if err := msgpack.Unmarshal(r.Body, &at); err != nil {
-		return n.notUnderstood(r, err)
+	var start directory.Start
+	if err := msgpack.Unmarshal(r.Body, &start); err != nil {
+		return n.malformedAnswer(r, err)
 	}
-	if !n.vouch(ctx, at) {
+	if !n.vouch(ctx, start) {
 		return call.Refuse(r, "not vouched for", 0)
 	}
 	return call.Answer{ID: r.ID, Status: call.OK}
 }
 
-// vouch gives this node's word for the local instance. A node that stops
-// gives none: it could not take it back.
-func (n *Node) vouch(ctx context.Context, at directory.Start) bool {
-	if _, leaving := n.leavingSince(); leaving {
+// vouch reports whether this node vouches for the local instance. A stopping
+// node does not, because it could not revoke it.
+func (n *Node) vouch(ctx context.Context, start directory.Start) bool {
+	if _, draining := n.drainingSince(); draining {
 		return false
 	}
-	word := n.witness.Vouch(ctx, at)
-	if n.vouching.Swap(word) != word {
-		n.log.WithFields(log.Fields{"instance": at.ID, "started": at.At, "word": word}).Info("vouch_changed")
+	vouched := n.witness.Vouch(ctx, start)
+	if n.lastVouch.Swap(vouched) != vouched {
+		n.log.WithFields(log.Fields{"instance": start.ID, "started": start.At, "word": vouched}).Info("vouch_changed")
 	}
-	return word
+	return vouched
 }
 
-// listed asks the source whether an instance is listed.
+// listed asks the directory source whether an instance is listed.
 func (n *Node) listed(ctx context.Context, id directory.InstanceID) (bool, error) {
 	if n.cfg.Source == nil {
 		return false, errNoSource
@@ -160,31 +160,30 @@
 	return n.cfg.Source.Listed(ctx, id)
 }
 
-// probe asks the local target whether it is an instance and well. It goes
-// the way of all requests, on a connection that is open already: one that is
-// too busy for it says so, and that tells nothing.
+// probe sends a health check to the local target over the pool used for
+// requests. A target that refuses it for overload yields vouch.Unknown.
 func (n *Node) probe(ctx context.Context, in directory.Instance) vouch.Fitness {
 	path := n.dir.View().HealthPath(in.Service)
 	if path == "" {
 		return vouch.Unknown
 	}
-	got, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.Target, URI: path})
+	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.Target, URI: path})
 	switch {
 	case errors.Is(err, targetconn.ErrNobody):
 		n.witness.Ended()
 		return vouch.Unfit
 	case err != nil && ctx.Err() == nil:
 		return vouch.Unfit
-	case err != nil, got.Header.Get(n.cfg.Headers.NotExecuted) != "":
+	case err != nil, resp.Header.Get(n.cfg.Headers.NotExecuted) != "":
 		return vouch.Unknown
-	case got.Code == http.StatusOK && got.Header.Get(n.cfg.Headers.Instance) == string(in.ID):
+	case resp.Code == http.StatusOK && resp.Header.Get(n.cfg.Headers.Instance) == string(in.ID):
 		return vouch.Fit
 	}
 	return vouch.Unfit
 }
 
-// peerOf returns the node beside an instance.
-func (n *Node) peerOf(in directory.Instance) (wire.Peer, error) {
+// peerFor returns the node next to an instance.
+func (n *Node) peerFor(in directory.Instance) (wire.Peer, error) {
 	host, _, err := net.SplitHostPort(in.Addr)
 	if err != nil {
 		return wire.Peer{}, eris.Wrapf(err, "instance address %s", in.Addr)
