--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-// accountMesh is a node without targets of its service and one with; callers
-// need a key of large or small.
+// newAccountMesh starts a node without targets of the routes' service and one
+// with them. Callers need the key of account large or small.
 func newAccountMesh(t *testing.T) *mesh {
 	m := newMesh(t, "entwurf", "archiv")
 	m.accounts = newAccountBook(t, large, small)
@@ -37,11 +37,11 @@
 	return m
 }
 
-// A target trusts the account that its node names. Whatever a caller writes in
-// its place, or how, must not reach it, and neither must the key.
+// Guards against forged account headers and leaked keys: the target must
+// receive only the name of the authenticated account.
 func TestTargetReceivesAccountOfKey(t *testing.T) {
 	m := newAccountMesh(t)
-	Convey("The holder, once, whatever the caller wrote", t, func() {
+	Convey("The account header holds the key's account, whatever the caller sends", t, func() {
 		for _, c := range []struct {
 			header  http.Header
 			account string
@@ -59,7 +59,7 @@
 			So(got, ShouldNotContainKey, "Authorization")
 		}
 	})
-	Convey("On a route that is open to all the key is kept back too", t, func() {
+	Convey("On a public route the key is not forwarded either", t, func() {
 		code, got := m.sendWithHeader(t, m.vms[0], "/open/x", http.Header{"Authorization": {"Key ks"}})
 		So(code, ShouldEqual, http.StatusOK)
 		So(got["Account"], ShouldResemble, []string{"small"})
@@ -70,7 +70,7 @@
 			So(got, ShouldNotContainKey, "Authorization")
 		}
 	})
-	Convey("Where callers need no account, both are headers like any other", t, func() {
+	Convey("Without accounts both headers are forwarded", t, func() {
 		m.accounts = nil
 		m.updateAll(3)
 		code, got := m.sendWithHeader(t, m.vms[0], "/read/x", http.Header{"Authorization": {"Key ks"}, "Account": {"large"}})
@@ -80,20 +80,20 @@
 	})
 }
 
-// A request whose key no account holds must not run, and its caller is told so
-// for good; not while a newer version may hold it.
+// A request with an unknown key must not be executed. It gets 401, or 503
+// while a newer version may contain the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	m := newAccountMesh(t)
 	n := m.vms[0]
 	unknown := [][]string{nil, {""}, {"Key"}, {"Key "}, {"kl"}, {"Bearer kl"}, {"Key no"}, {"Key kl,Key ks"}, {"Key kl", "Key kl"}}
-	Convey("401, and nothing runs", t, func() {
+	Convey("401, and the request is not executed", t, func() {
 		for _, auth := range unknown {
 			code, got := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": auth})
 			So(code, ShouldEqual, http.StatusUnauthorized)
 			So(got, ShouldBeNil)
 		}
 	})
-	Convey("A key that a newer version does not have is not taken any more, one that it adds is", t, func() {
+	Convey("A removed key is rejected, an added key is accepted", t, func() {
 		code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key kl"}})
 		So(code, ShouldEqual, http.StatusOK)
 		other := large
@@ -105,7 +105,7 @@
 			So(code, ShouldEqual, want)
 		}
 	})
-	Convey("While the source is away, 503 with when to come back", t, func() {
+	Convey("While the source is unavailable, 503 with Retry-After", t, func() {
 		n.dir.Back()
 		n.dir.Away(time.Now(), errors.New("gone"))
 		id, got := m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
@@ -117,11 +117,11 @@
 	})
 }
 
-// A target's calls carry no key. They are let in for the request that runs;
-// nobody else's are.
+// Child requests carry no key. They are accepted only while their parent is
+// running.
 func TestChildRequestsNeedNoKey(t *testing.T) {
 	m := newAccountMesh(t)
-	Convey("A call of a running request is served, and names no account", t, func() {
+	Convey("A child request is served without an account", t, func() {
 		var inner reply
 		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("Request-Id")
@@ -135,7 +135,7 @@
 		So(inner.code, ShouldEqual, http.StatusOK)
 		So(inner.body, ShouldBeEmpty)
 	})
-	Convey("One of a request that is not known to run is not run, and may come back", t, func() {
+	Convey("A child request without a running parent gets 503", t, func() {
 		id, got := m.send(context.Background(), m.vms[0], http.MethodGet, "/read/x", "", map[string]string{"Request-Id": "gone.c1"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
@@ -144,7 +144,6 @@
 	})
 }
 
-// An account's rank goes before its route's.
 func TestAccountRankPrecedesRouteRank(t *testing.T) {
 	routes, err := directory.NewRoutes(1, directory.Limits{}, testRoutes)
 	if err != nil {
@@ -155,13 +154,13 @@
 		r, of := routes.Rank(a, &testRoutes[route])
 		return admit.Squeeze(r, of)
 	}
-	Convey("First by account, then by route; callers without one come with the last", t, func() {
+	Convey("Ranks order by account, then by route; requests without an account rank last", t, func() {
 		const read, publish, lookup, open = 0, 1, 2, 3
 		order := []int{rank(&small, publish), rank(&small, lookup), rank(&small, read), rank(&large, publish), rank(&large, lookup), rank(&large, read)}
 		So(order, ShouldResemble, []int{0, 1, 2, 3, 4, 5})
 		So(rank(nil, open), ShouldEqual, rank(&large, read))
 	})
-	Convey("More than are told apart are put together in their order", t, func() {
+	Convey("Excess ranks are merged in order", t, func() {
 		var ranks []int
 		for i := range 12 {
 			ranks = append(ranks, admit.Squeeze(i, 12))
@@ -173,8 +172,8 @@
 	})
 }
 
-// withHeader sends a read with header fields as they stand, and returns what
-// its target got; nil if it did not run.
+// sendWithHeader sends a GET request with exactly the header fields in h and
+// returns the header that the target received; nil if it was not executed.
 func (m *mesh) sendWithHeader(t testing.TB, v *vm, path string, h http.Header) (int, http.Header) {
 	id := "h" + time.Now().Format("150405.000000000")
 	id = id[:7] + id[8:]
@@ -199,9 +198,8 @@
 	return resp.StatusCode, f.last.Header
 }
 
-// An account sends more than it may. What is over is refused at the entry, with
-// when there will be room, and is told from a refusal for overload; what did not
-// run for another reason is not counted against it.
+// A request over the rate limit gets 429 with Retry-After. Requests that are
+// not executed for another reason must not count against the limit.
 func TestAccountOverRateLimitIsRefused(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv")
 	n := m.vms[0]
@@ -211,12 +209,12 @@
 	send := func(key string) (string, reply) {
 		return m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
 	}
-	Convey("429 with Retry-After, and it does not run", t, func() {
-		ran, refused := 0, 0
+	Convey("429 with Retry-After, and the request is not executed", t, func() {
+		admitted, refused := 0, 0
 		for range 40 {
 			id, got := send("k")
 			if got.code == http.StatusOK {
-				ran++
+				admitted++
 				continue
 			}
 			refused++
@@ -226,13 +224,13 @@
 			So(after, ShouldBeBetween, 0, 5.1)
 			So(m.vms[1].target.runCount(id), ShouldEqual, 0)
 		}
-		So(ran, ShouldBeBetween, 1, 20)
+		So(admitted, ShouldBeBetween, 1, 20)
 		So(refused, ShouldBeGreaterThan, 10)
 		_, got := send("ks")
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
-	Convey("What is refused for overload is given back", t, func() {
-		n.node.limiter.Keep(newAccountBook(t, small)) // forgets what was taken
+	Convey("A refusal for overload does not consume the limit", t, func() {
+		n.node.limiter.Keep(newAccountBook(t, small)) // resets the usage
 		n.node.admission = admitNone{}
 		for range 40 {
 			_, got := send("k")
@@ -244,27 +242,27 @@
 	})
 }
 
-// Requests of one account come in at two nodes. Each must hear of what the other
-// let in, or both let in the whole limit.
+// Two nodes receive requests of one account. Without exchanging usage, each
+// would admit the whole limit.
 func TestNodesShareAccountUsage(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 40, Burst: 40}
 	m.accounts = newAccountBook(t, limited)
 	m.updateAll(2)
-	Convey("Together they let in what it may, and a little more", t, func() {
+	Convey("Both nodes together admit the limit within tolerance", t, func() {
 		const sent = 500
-		ran, began := 0, time.Now()
+		admitted, began := 0, time.Now()
 		for i := range sent {
 			_, got := m.send(context.Background(), m.vms[i%2], http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key k"})
 			if got.code == http.StatusOK {
-				ran++
+				admitted++
 			}
 			time.Sleep(4 * time.Millisecond)
 		}
-		// The rate, the burst and the quarter that operators allow besides; two
-		// nodes that know nothing of each other let in twice the rate.
+		// The rate and the burst, plus a tolerance of 25 %. Two nodes without
+		// exchange admit twice the rate.
 		took := time.Since(began).Seconds()
-		So(ran, ShouldBeLessThanOrEqualTo, int(1.25*(limited.Rate*took+limited.Burst)))
-		So(ran, ShouldBeGreaterThanOrEqualTo, min(sent, int(limited.Rate*took/2)))
+		So(admitted, ShouldBeLessThanOrEqualTo, int(1.25*(limited.Rate*took+limited.Burst)))
+		So(admitted, ShouldBeGreaterThanOrEqualTo, min(sent, int(limited.Rate*took/2)))
 	})
 }
--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -18,14 +18,14 @@
 )
 
 type (
-	// benchKind is a kind of request that callers send in a benchmark.
+	// benchRequest is a kind of request to be benchmarked.
 	benchRequest struct {
 		name, method, path string
-		body, answer       int // bytes
-		code               int // of its answer
+		body, answer       int // in bytes
+		code               int // expected status code
 	}
 
-	// nobody admits no new request of the lower ranks.
+	// admitNone refuses new requests except those of the highest rank.
 	admitNone struct{}
 )
 
@@ -37,10 +37,9 @@
 
 func (admitNone) Threshold(string) call.Level { return 0 }
 
-// BenchmarkRequest is the cost of a request through two nodes to the target
-// beside the second, with callers and targets that do as little as they can.
-// All are in this process: the processor time is that of both nodes and the
-// kernel, and a little of the others'.
+// BenchmarkRequest measures a request through two nodes to the target of the
+// second, with minimal callers and targets. The CPU time covers the whole
+// process, including callers and targets, and the kernel.
 func BenchmarkRequest(b *testing.B) {
 	for _, k := range []benchRequest{benchRead, benchPublish} {
 		for _, callers := range []int{1, 50, 500} {
@@ -49,14 +48,14 @@
 	}
 }
 
-// BenchmarkRefused is the cost of a request that is refused where it enters.
+// BenchmarkRefused measures a request that is refused at the entry node.
 func BenchmarkRefused(b *testing.B) {
 	m := benchMesh(b)
 	m.vms[0].node.admission = admitNone{}
 	m.runLoad(b, benchRefused, 50)
 }
 
-// benchMesh is two nodes, of which the second's target serves all requests.
+// benchMesh starts two nodes; the second's target serves all requests.
 func benchMesh(b *testing.B) *mesh {
 	m := &mesh{t: b, port: freePort(b), serve: serveMinimal}
 	m.populate([]string{"entwurf", "archiv"})
@@ -67,8 +66,8 @@
 	return m
 }
 
-// load lets callers on the first VM send b.N requests.
-func (m *mesh) runLoad(b *testing.B, k benchRequest, callers int) {
+// runLoad sends b.N requests from concurrent callers on the first VM.
+func (m *mesh) runLoad(b *testing.B, req benchRequest, callers int) {
 	var left, sent atomic.Int64
 	left.Store(int64(b.N))
 	b.ReportAllocs()
@@ -86,7 +85,7 @@
 			in := bufio.NewReader(c)
 			for left.Add(-1) >= 0 {
 				id := "c" + strconv.Itoa(i) + "r" + strconv.FormatInt(sent.Add(1), 10)
-				if code, err := roundTrip(c, in, k, id); err != nil || code != k.code {
+				if code, err := roundTrip(c, in, req, id); err != nil || code != req.code {
 					b.Errorf("%d, %v", code, err)
 					return
 				}
@@ -97,13 +96,13 @@
 	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// exchange sends a request as a caller does and reads its answer.
-func roundTrip(c net.Conn, in *bufio.Reader, k benchRequest, id string) (code int, err error) {
-	head := k.method + " " + k.path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 5000\r\nAccept: */*\r\nUser-Agent: panel/1.0\r\n"
-	if k.body > 0 {
-		head += "Content-Length: " + strconv.Itoa(k.body) + "\r\n"
+// roundTrip sends a request and reads the response.
+func roundTrip(c net.Conn, in *bufio.Reader, req benchRequest, id string) (code int, err error) {
+	head := req.method + " " + req.path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 5000\r\nAccept: */*\r\nUser-Agent: panel/1.0\r\n"
+	if req.body > 0 {
+		head += "Content-Length: " + strconv.Itoa(req.body) + "\r\n"
 	}
-	if _, err := io.WriteString(c, head+"\r\n"+strings.Repeat("b", k.body)); err != nil {
+	if _, err := io.WriteString(c, head+"\r\n"+strings.Repeat("b", req.body)); err != nil {
 		return 0, err
 	}
 	first, _, err := readMessage(in)
@@ -113,7 +112,7 @@
 	return strconv.Atoi(strings.Fields(first)[1])
 }
 
-// serveBare answers as a target does, at once.
+// serveMinimal answers every request immediately.
 func serveMinimal(l net.Listener, _ string) {
 	for {
 		c, err := l.Accept()
@@ -139,7 +138,8 @@
 	}
 }
 
-// readBare reads a message and returns its first line and its id.
+// readMessage reads an HTTP message and returns its first line and its
+// request id.
 func readMessage(in *bufio.Reader) (first, id string, err error) {
 	size := 0
 	for {
--- a/sidecar/catchup_test.go
+++ b/sidecar/catchup_test.go
@@ -15,11 +15,10 @@
 
 func (v *vm) addr() membership.Addr { return membership.Addr(v.node.cfg.Peer) }
 
-// One node hears of a change, and another asks it for what it knows beyond
-// its own: the change comes over the connection that their requests use.
+// A long poll must return a change as soon as the peer learns of it.
 func TestSinceReturnsPeerChanges(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
-	Convey("As soon as it knows", t, func() {
+	Convey("The long poll returns the change", t, func() {
 		got := make(chan directory.Delta, 1)
 		go func() {
 			x, err := m.vms[0].node.Since(context.Background(), m.vms[1].addr(), 1, 2*time.Second)
@@ -39,11 +38,10 @@
 	})
 }
 
-// A node is told to stop while others wait at it for a change. Holding their
-// questions would hold up its end, and they would learn nothing meanwhile.
+// A stopping node must not hold long polls, which would delay its shutdown.
 func TestDrainingNodeReleasesLongPolls(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
-	Convey("At once", t, func() {
+	Convey("The long poll ends immediately", t, func() {
 		ended := make(chan error, 1)
 		began := time.Now()
 		go func() {
@@ -57,12 +55,12 @@
 	})
 }
 
-// Another node's question cannot be decoded: it runs another version, or the
-// bytes are not its own. Nothing changes, and an operator sees it counted.
+// An operation that cannot be decoded must change no state and must be
+// counted.
 func TestUndecodableOperationIsCounted(t *testing.T) {
 	m := newMesh(t, "archiv")
 	n := m.vms[0].node
-	Convey("It is refused and counted", t, func() {
+	Convey("The operation fails and is counted", t, func() {
 		before := n.dir.Revision()
 		for _, op := range []string{sinceOperation, vouchOperation, endsOperation} {
 			a := n.servePeer(context.Background(), call.Request{ID: "q", Operation: op, Body: []byte("junk")})
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -10,12 +10,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The target two calls below is short of room. Only the node at which
-// requests enter can favour those that take little of it, and it sees neither
-// the target nor the calls: what they took comes back with the answers.
+// Admission by cost happens at the entry node, which sees neither the
+// saturated target nor the child requests. The slot time must be returned
+// with the responses.
 func TestChildSlotTimeIsReportedToEntryNode(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv", "versand")
-	Convey("A read's cost is the time of its calls at the full target", t, func() {
+	Convey("The cost of a read is the slot time of its child requests at the saturated target", t, func() {
 		full := m.vms[2].node
 		for full.meter.Threshold() == admit.Top {
 			full.meter.Arrive(2*admit.Parts, time.Minute, 0)
--- a/sidecar/exit_test.go
+++ b/sidecar/exit_test.go
@@ -9,42 +9,41 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An instance ends with several requests in progress. On-call engineers see
-// that it ended, once, and which requests were in progress there; a broken
-// connection alone is no end.
+// The exit of a target must be detected once for all requests in progress. A
+// single broken connection is not an exit.
 func TestTargetExitIsDetectedOnce(t *testing.T) {
-	Convey("The first request that fails looks for all", t, func() {
-		var e exitDetector
+	Convey("The first failed request probes for all", t, func() {
+		var detector exitDetector
 		began := time.Now()
-		looks := 0
-		gone := func() bool { looks++; return true }
+		probes := 0
+		probe := func() bool { probes++; return true }
 		var wg sync.WaitGroup
 		var mu sync.Mutex
-		firsts := 0
+		detections := 0
 		failed := time.Now()
 		for range 20 {
 			wg.Go(func() {
-				id, first := e.exitDuring(began, failed, gone)
+				id, first := detector.exitDuring(began, failed, probe)
 				mu.Lock()
 				defer mu.Unlock()
 				if first {
-					firsts++
+					detections++
 				}
-				if id == 0 || id != e.exitID {
-					t.Error("not seen, or as another end")
+				if id == 0 || id != detector.exitID {
+					t.Error("exit not detected or detected twice")
 				}
 			})
 		}
 		wg.Wait()
-		So(looks, ShouldEqual, 1)
-		So(firsts, ShouldEqual, 1)
-		Convey("What began after it did not run under it", func() {
+		So(probes, ShouldEqual, 1)
+		So(detections, ShouldEqual, 1)
+		Convey("A request that began later is not affected", func() {
 			later := time.Now()
-			id, _ := e.exitDuring(later, time.Now(), func() bool { return false })
+			id, _ := detector.exitDuring(later, time.Now(), func() bool { return false })
 			So(id, ShouldEqual, 0)
 		})
 	})
-	Convey("Of two nodes' targets, one ends and one breaks off", t, func() {
+	Convey("One target exits, another only breaks a connection", t, func() {
 		m := newMesh(t, "archiv", "versand")
 		m.vms[0].target.handleWith(func(http.ResponseWriter, *http.Request) { m.vms[0].stopTarget() })
 		m.vms[1].target.handleWith(func(w http.ResponseWriter, _ *http.Request) {
--- a/sidecar/path_test.go
+++ b/sidecar/forward_test.go
@@ -18,22 +18,22 @@
 
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("The target gets the caller's request and the caller the target's answer", t, func() {
+	Convey("The target receives the caller's request and the caller the target's response", t, func() {
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPut, "/publish/a%2fb?x=1&y", "note",
 			map[string]string{"X-Own": "kept", "Caller-Service": "forged", "Expected-Instance": "forged", "Connection": "X-Hop, close", "X-Hop": "dropped"})
 		So(got.code, ShouldEqual, http.StatusOK)
 		So(got.body, ShouldEqual, "answer of i-127.0.0.3")
 		So(got.header.Get("Signature"), ShouldEqual, "s")
 		So(got.header.Get("Request-Id"), ShouldEqual, id)
-		tg := m.vms[1].target
-		So(tg.last.RequestURI, ShouldEqual, "/publish/a%2fb?x=1&y")
-		So(tg.last.Method, ShouldEqual, http.MethodPut)
-		So(tg.body, ShouldEqual, "note")
-		So(tg.last.Header.Get("X-Own"), ShouldEqual, "kept")
-		So(tg.last.Header.Get("X-Hop"), ShouldEqual, "")
-		So(tg.last.Header.Get("Caller-Service"), ShouldEqual, "versand")
-		So(tg.last.Header.Get("Expected-Instance"), ShouldEqual, "i-127.0.0.3")
-		ms, err := strconv.Atoi(tg.last.Header.Get("Deadline-Ms"))
+		target := m.vms[1].target
+		So(target.last.RequestURI, ShouldEqual, "/publish/a%2fb?x=1&y")
+		So(target.last.Method, ShouldEqual, http.MethodPut)
+		So(target.body, ShouldEqual, "note")
+		So(target.last.Header.Get("X-Own"), ShouldEqual, "kept")
+		So(target.last.Header.Get("X-Hop"), ShouldEqual, "")
+		So(target.last.Header.Get("Caller-Service"), ShouldEqual, "versand")
+		So(target.last.Header.Get("Expected-Instance"), ShouldEqual, "i-127.0.0.3")
+		ms, err := strconv.Atoi(target.last.Header.Get("Deadline-Ms"))
 		So(err, ShouldBeNil)
 		So(ms, ShouldBeBetween, 800, 1001)
 	})
@@ -41,7 +41,7 @@
 
 func TestInvalidRequestStatusCodes(t *testing.T) {
 	m := newMesh(t, "archiv")
-	Convey("Each has its own status and runs nothing", t, func() {
+	Convey("Each gets its own status and is not executed", t, func() {
 		v := m.vms[0]
 		for _, c := range []struct {
 			name, path, body string
@@ -58,7 +58,7 @@
 			So(c.name+" "+strconv.Itoa(got.code), ShouldEqual, c.name+" "+strconv.Itoa(c.code))
 			So(v.target.runCount(id), ShouldEqual, 0)
 		}
-		Convey("A request without a deadline has the route's timeout", func() {
+		Convey("A request without a deadline gets the route's timeout", func() {
 			_, got := m.send(context.Background(), v, http.MethodGet, "/read/x", "", map[string]string{"Deadline-Ms": ""})
 			So(got.code, ShouldEqual, http.StatusOK)
 			ms, _ := strconv.Atoi(v.target.last.Header.Get("Deadline-Ms"))
@@ -67,21 +67,20 @@
 	})
 }
 
-// An instance runs a request and its connection breaks before the answer. A
-// publication must not be sent again, and "503, not run" would make the
-// client send it again; a read may go to another instance.
+// An action whose connection fails before the response must be reported as
+// unknown and not be retried. A read is retried on another instance.
 func TestConnectionLostBeforeResponse(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
-	breakOff := func(w http.ResponseWriter, _ *http.Request) {
+	breakConnection := func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		}
 	}
-	Convey("An action ends unknown, run once; a read is answered by another instance", t, func() {
+	Convey("An action runs once and gets 502; a read is retried on another instance", t, func() {
 		for _, v := range m.vms[1:] {
-			v.target.handleWith(breakOff)
+			v.target.handleWith(breakConnection)
 		}
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusBadGateway)
@@ -96,16 +95,15 @@
 	})
 }
 
-// A full instance refuses a publication unrun. It may go to the next
-// instance; when all refuse, the caller is told that it has not run and when
-// to come back.
+// A request refused by one target is retried on another. If all refuse, the
+// caller gets 503 with Retry-After.
 func TestTargetRefusalIsRetried(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	Convey("One refusal is made up for, refusals by all are one answer", t, func() {
+	Convey("A single refusal is retried; refusals by all instances give 503", t, func() {
 		m.vms[1].target.handleWith(refuse)
 		for range 4 {
 			_, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
@@ -121,11 +119,11 @@
 	})
 }
 
-// An instance has ended and another service's instance has its address; the
-// list here is old. The request must not run there.
+// The address of an instance has been reused by another service, and the
+// sender's directory is outdated. The request must not be executed there.
 func TestReusedAddressRunsNothing(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("The other instance refuses it, and so does its node", t, func() {
+	Convey("The other instance and its node refuse the request", t, func() {
 		m.vms[1].target.id = "i-later"
 		id, got := m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
@@ -139,11 +137,10 @@
 	})
 }
 
-// A target never answers. The caller gets its final answer when the route's
-// timeout ends, though it would wait twice as long.
+// The route's timeout ends a request even if its caller would wait longer.
 func TestRouteTimeout(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("504 at the timeout", t, func() {
+	Convey("504 at the route's timeout", t, func() {
 		m.vms[1].target.handleWith(func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		began := time.Now()
 		_, got := m.get(m.vms[0], "/read/x")
@@ -152,11 +149,10 @@
 	})
 }
 
-// A caller closes its connection while its read runs two nodes away. The
-// target stops, since nobody waits; an action goes on to its end.
+// A disconnecting caller cancels a read at the target, but not an action.
 func TestCallerDisconnectCancelsRead(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("A read's target sees its connection close, an action's does not", t, func() {
+	Convey("The target of a read sees its connection close, that of an action does not", t, func() {
 		for _, c := range []struct {
 			method, path string
 			stops        bool
@@ -183,11 +179,11 @@
 
 func requestID(s string) call.RequestID { return call.RequestID(s) }
 
-// A node is restarted while the store turns it away. Its VM is of no use until
-// it knows the routes, which every other node could tell.
+// A node restarted while the directory source is unavailable must load the
+// directory from a seed.
 func TestRestartedNodeLoadsDirectoryFromSeed(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("It asks the seeds, one after the other, until one tells", t, func() {
+	Convey("It queries the seeds in order until one answers", t, func() {
 		m.seeds = []string{"127.0.0.9:1", m.vms[1].node.cfg.Control}
 		v := m.start("127.0.0.4", "rankings")
 		m.vms = append(m.vms, v)
@@ -203,11 +199,11 @@
 	})
 }
 
-// A caller sends half a body and stops. Its connection is not to be held for
-// ever, and it is told that nothing ran.
+// A stalled request body must not hold its connection longer than the
+// request's deadline.
 func TestStalledBodyTimesOut(t *testing.T) {
 	m := newMesh(t, "archiv")
-	Convey("408 when the request's time is up", t, func() {
+	Convey("408 at the request's deadline", t, func() {
 		c, err := net.Dial("tcp", m.vms[0].node.cfg.Callers)
 		So(err, ShouldBeNil)
 		defer c.Close()
--- a/sidecar/lifetime_test.go
+++ b/sidecar/lifetime_test.go
@@ -11,13 +11,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A node is started while the store does not answer. It knows no route, so a
-// 404 would deny a request that every version allows.
+// A node without routes must not answer 404 for a path that may have a route.
 func TestNodeWithoutRoutesReturnsRetryAfter(t *testing.T) {
 	m := &mesh{t: t, port: freePort(t)}
 	m.vms = append(m.vms, m.start("127.0.0.2", "archiv"))
 	t.Cleanup(m.stop)
-	Convey("503 with Retry-After, and not ready", t, func() {
+	Convey("503 with Retry-After, and the readiness check fails", t, func() {
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotEqual, "")
@@ -38,12 +37,11 @@
 	return resp.StatusCode
 }
 
-// A node gets SIGTERM while its target works on a request that came from
-// another node, and new requests still come for a while. None may be cut, and
-// the process ends in its grace.
+// Shutdown must finish requests in progress, answer those that arrive during
+// it, and end within the grace period.
 func TestShutdownFinishesRequests(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
-	Convey("What runs ends, what comes is answered, the process ends in its grace", t, func() {
+	Convey("Running requests finish, new ones are answered, and the node stops within its grace period", t, func() {
 		began := make(chan struct{}, 1)
 		for _, v := range m.vms[1:] {
 			v.target.handleWith(func(w http.ResponseWriter, r *http.Request) {
@@ -82,12 +80,12 @@
 	})
 }
 
-// Nodes are restarted one after the other. Each stays up for two seconds so
-// that callers notice, and its instance, a third of its service, would have
-// nothing to do meanwhile while the others refuse reads for want of room.
+// A stopping node must keep serving its peers for a while. Otherwise its
+// instance would idle during every restart while other instances are
+// overloaded.
 func TestDrainingNodeServesPeersAtFirst(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("Peers' requests are served at first, then sent away unrun, and none is cut", t, func() {
+	Convey("Requests from peers are served at first and refused later", t, func() {
 		stopped := make(chan struct{})
 		go func() { m.vms[1].node.Shutdown(context.Background()); close(stopped) }()
 		time.Sleep(20 * time.Millisecond)
@@ -101,11 +99,11 @@
 	})
 }
 
-// The store does not tell one node of a change and tells the other. The
-// first hears from the second's answers that it is behind, and catches up.
+// A node that missed a change must detect it from the revision in a peer's
+// responses and catch up.
 func TestNodeCatchesUpWithPeerRevision(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("Answers carry the revision, and the snapshot is taken over", t, func() {
+	Convey("The newer revision is fetched from the peer", t, func() {
 		r, err := directory.NewRoutes(2, directory.Limits{}, testRoutes[:1])
 		So(err, ShouldBeNil)
 		m.vms[1].dir.Apply([]directory.Change{{Routes: r}}, 9)
--- a/sidecar/fake_test.go
+++ b/sidecar/mesh_test.go
@@ -28,26 +28,27 @@
 	Key: "Authorization", KeyScheme: "Key", Account: "Account"}
 
 type (
-	// mesh is a few nodes on loopback addresses, each with a fake target.
+	// mesh is a set of nodes on loopback addresses, each with a fake target.
 	mesh struct {
 		t        testing.TB
 		port     int // of every node's peer listener
 		vms      []*vm
 		ids      atomic.Int64
 		cleanups []func()
-		seeds    []string // for nodes started from now on
-		// source is for the same; without one, nodes ask nobody either.
+		seeds    []string // for nodes started later
+		// source is the directory source of nodes started later; nil for
+		// none.
 		source directory.Source
-		// serve answers as targets in place of fakeTarget.
+		// serve replaces fakeTarget if set.
 		serve func(l net.Listener, id string)
-		// accounts are in every version that nodes are told; nil for none.
+		// accounts are included in the routes; nil for none.
 		accounts *account.Book
 	}
 
-	// quietSource has nothing to tell.
+	// emptySource is a directory source without contents.
 	emptySource struct{}
 
-	// vm is one node and its fake target.
+	// vm is a node and its fake target.
 	vm struct {
 		node   *Node
 		dir    *directory.Directory
@@ -58,10 +59,10 @@
 		served chan error
 	}
 
-	// fakeTarget answers as an instance does and counts what it ran.
+	// fakeTarget is a target that counts the requests it executes, by id.
 	fakeTarget struct {
 		id       string
-		health   atomic.Int64 // code of its health check; 0 for none
+		health   atomic.Int64 // status code of health checks; 0 for none
 		handle   atomic.Pointer[http.HandlerFunc]
 		mu       sync.Mutex
 		runsByID map[string]int
@@ -83,7 +84,7 @@
 	return false, errNoSource
 }
 
-// signed answers a request as a target that ran it.
+// writeSigned writes a response with the headers that a target adds.
 func writeSigned(w http.ResponseWriter, r *http.Request, code int, body string) {
 	w.Header().Set("Signature", "s")
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
@@ -133,9 +134,8 @@
 	return l
 }
 
-// Ports for nodes, which are told their addresses before they listen. They
-// lie below the range from which the kernel takes ports for connections: one
-// of those could be taken again between the choice and the node's start.
+// Ports of nodes, chosen before the nodes listen. They lie below the kernel's
+// ephemeral port range, so that no connection takes one in the meantime.
 const (
 	firstPort = 21000
 	lastPort  = 31999
@@ -145,7 +145,7 @@
 
 func init() { nextPort.Store(int64(rand.IntN(lastPort - firstPort))) }
 
-// freePort returns a port that nothing listens on at any test address.
+// freePort returns a port that is free on all test addresses.
 func freePort(t testing.TB) int {
 	for range lastPort - firstPort {
 		port := firstPort + int(nextPort.Add(1))%(lastPort-firstPort)
@@ -168,13 +168,13 @@
 	{Name: "open", Host: "h", Prefix: "/open/", Idempotent: true, MaxInstances: 2, Timeout: time.Second, TargetLatency: 500 * time.Millisecond, Priority: 2, Public: true, Shares: []directory.Share{{Service: "archiv", Weight: 1}}},
 }
 
-// newMesh starts a node and target for each service named, all of which know
-// the test routes and each other.
+// newMesh starts a node and a target for each service. All nodes know the
+// test routes and each other.
 func newMesh(t testing.TB, services ...string) *mesh {
 	return (&mesh{t: t, port: freePort(t)}).populate(services)
 }
 
-// populate starts a node and target for each service named.
+// populate starts a node and a target for each service.
 func (m *mesh) populate(services []string) *mesh {
 	for i, service := range services {
 		m.vms = append(m.vms, m.start(fmt.Sprintf("127.0.0.%d", i+2), service))
@@ -199,17 +199,16 @@
 	return v
 }
 
-// serve lets v's target answer at a listener.
+// serve starts v's target on l.
 func (v *vm) serve(l net.Listener) {
 	v.server = &http.Server{Handler: v.target}
 	go v.server.Serve(l)
 }
 
-// crash ends v's target: nothing listens any more, and all its connections
-// break.
+// stopTarget stops v's target and breaks its connections.
 func (v *vm) stopTarget() { v.server.Close() }
 
-// run starts a node beside v's target.
+// run starts the node of v.
 func (m *mesh) run(v *vm) {
 	lg := &log.Logger{Handler: discard.New()}
 	v.dir = directory.New(directory.Usual(lg))
@@ -237,7 +236,8 @@
 	m.t.Fatalf("nothing listens on %s", addr)
 }
 
-// tellAll gives every node the test routes in a version and all instances.
+// updateAll sets the test routes, with the given version, and all instances
+// at every node.
 func (m *mesh) updateAll(version callgraph.Version) {
 	r, err := directory.NewRoutes(version, directory.Limits{BodyBytes: 1000}, testRoutes)
 	if err != nil {
@@ -268,7 +268,7 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	code   int
 	header http.Header
@@ -276,7 +276,7 @@
 	err    error
 }
 
-// send sends a request to v's node as a caller would, on a new connection.
+// send sends a request from a caller to v's node on a new connection.
 func (m *mesh) send(ctx context.Context, v *vm, method, path, body string, header map[string]string) (id string, got reply) {
 	id = "req" + strconv.FormatInt(m.ids.Add(1), 10)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.node.cfg.Callers+path, strings.NewReader(body))
--- a/sidecar/operation_test.go
+++ b/sidecar/operation_test.go
@@ -10,12 +10,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An operator calls a route by the name of a question that nodes ask each
-// other. Its callers would get a node's snapshot, or a refusal, instead of
-// their answer.
+// A route may have the name of a node operation. Its requests must still
+// reach the target.
 func TestRouteMayShareNameWithNodeOperation(t *testing.T) {
 	m := newMesh(t, "archiv")
-	Convey("Its requests go to the target all the same", t, func() {
+	Convey("Requests of the route reach the target", t, func() {
 		v := m.vms[0]
 		for _, name := range []string{sinceOperation, vouchOperation} {
 			r := call.Request{ID: requestID("named-" + name), Operation: name, To: string(v.self.ID), Remaining: time.Second,
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -12,11 +12,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The target makes a call for a request that it runs. The call has the level
-// of that request, whatever its own route says, and goes before new requests.
+// A child request must have the level of its parent, not that of its own
+// route, and must not be refused as a new request.
 func TestChildRequestInheritsLevel(t *testing.T) {
 	m := newMesh(t, "archiv", "versand")
-	Convey("A call is found by its id, and is not refused as new", t, func() {
+	Convey("A child request is recognized by its id and not refused as new", t, func() {
 		m.vms[0].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			v := m.vms[0]
 			id := r.Header.Get("Request-Id")
@@ -37,12 +37,11 @@
 	})
 }
 
-// An instance breaks off every answer; the callers that asked it once are
-// told how it does by its node. Another one fails only because what it calls
-// is refused elsewhere: that says nothing of it.
+// A node must report the failures of its own target, but not those caused by
+// failed child requests.
 func TestNodeReportsTargetFailureRatio(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("Failures of the target's own are told, those of its calls are not", t, func() {
+	Convey("The target's own failures are reported, those of child requests are not", t, func() {
 		for range 10 {
 			m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 				call, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.Callers+"/lookup/x", nil)
@@ -53,7 +52,7 @@
 				call.Header.Set("Request-Id", r.Header.Get("Request-Id")+".c1")
 				resp, err := http.DefaultTransport.RoundTrip(call)
 				if err != nil || resp.StatusCode != http.StatusOK {
-					writeSigned(w, r, http.StatusInternalServerError, "a call failed")
+					writeSigned(w, r, http.StatusInternalServerError, "a child request failed")
 				}
 			})
 			m.vms[0].target.handleWith(func(w http.ResponseWriter, r *http.Request) { writeSigned(w, r, http.StatusInternalServerError, "") })
@@ -69,12 +68,11 @@
 	})
 }
 
-// The targets on a read's way are too busy. It is refused where it enters,
-// before any of its work is done, with a time to come back that is within
-// what its caller still waits.
+// A request with an overloaded target on its path must be refused at the
+// entry node with a Retry-After within its deadline.
 func TestOverloadRefusesAtEntryNode(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("503 at once; the target sees nothing, approvals pass", t, func() {
+	Convey("A read gets 503 and does not reach the target; a publication passes", t, func() {
 		m.vms[0].node.thresholds.Told("read", 10, "archiv")
 		id, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
@@ -87,12 +85,11 @@
 	})
 }
 
-// Every target is full. A read that waits out its time at one and then again
-// at the next is refused long after its caller could have come back: the
-// time it may wait is for all of them together.
+// The queue wait is bounded over all attempts. A request must not wait in
+// full at one instance after another.
 func TestQueueWaitIsSharedByAttempts(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
-	Convey("It is refused when the time it may wait is over", t, func() {
+	Convey("The request is refused when its queue wait is over", t, func() {
 		for _, v := range m.vms[1:] {
 			for range v.node.gate.Load().Limit {
 				_, err := v.node.gate.Enter(context.Background(), slots.Ticket{Deadline: time.Now().Add(time.Minute)})
@@ -106,11 +103,10 @@
 	})
 }
 
-// A caller gives up on an action that still waits for its turn at a full
-// target. Nothing of it has run, and nobody waits for it: it must not run.
+// A queued action must not be executed after its caller has disconnected.
 func TestCanceledQueuedActionNeverRuns(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("It leaves the queue with its caller", t, func() {
+	Convey("The request leaves the queue when its caller disconnects", t, func() {
 		v := m.vms[1]
 		v.node.gate.SetLimit(1)
 		release := make(chan struct{})
--- a/sidecar/pace_test.go
+++ b/sidecar/pace_test.go
@@ -10,19 +10,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// One of two instances turns forty times slower. Callers have 300 ms, and
-// what goes to the slow one is answered 504 at the end of it, with no time
-// left for the other. Its node knows from the requests that hang there, and
-// sends what comes later on at once.
+// One of two instances becomes forty times slower. Requests with short
+// deadlines must go to the other one instead of failing with 504.
 func TestSlowTargetIsSkippedWhenDeadlineIsTooShort(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	slow := m.vms[1]
-	usual := func(w http.ResponseWriter, r *http.Request) {
+	respond := func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
 		writeSigned(w, r, http.StatusOK, "")
 	}
 	for _, v := range m.vms[1:] {
-		v.target.handleWith(usual)
+		v.target.handleWith(respond)
 	}
 	read := func(ms string) int {
 		_, got := m.send(t.Context(), m.vms[0], http.MethodGet, "/read/x", "", map[string]string{"Deadline-Ms": ms})
@@ -35,18 +33,18 @@
 		time.Sleep(800 * time.Millisecond)
 		writeSigned(w, r, http.StatusOK, "")
 	})
-	var hang sync.WaitGroup
+	var hanging sync.WaitGroup
 	for range 8 {
-		hang.Go(func() {
+		hanging.Go(func() {
 			slow.node.serveLocal(t.Context(), call.Request{ID: "hang", Operation: "read", To: string(slow.self.ID), Remaining: 2 * time.Second,
 				HTTP: &call.HTTPRequest{Method: http.MethodGet, Host: "h", URI: "/read/x", Idempotent: true}})
 		})
 	}
-	Convey("Nothing fails after half a second", t, func() {
+	Convey("After half a second all requests succeed", t, func() {
 		time.Sleep(400 * time.Millisecond)
 		for range 20 {
 			So(read("300"), ShouldEqual, http.StatusOK)
 		}
 	})
-	hang.Wait()
+	hanging.Wait()
 }
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -10,10 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A policy that is added without its default would be off for everybody, and
-// nothing would fail.
+// Guards against a new policy that is missing from the defaults.
 func TestUsualEnablesEveryPolicy(t *testing.T) {
-	Convey("Each field is on", t, func() {
+	Convey("Each field is set", t, func() {
 		v := reflect.ValueOf(Usual())
 		for i := range v.NumField() {
 			So(v.Type().Field(i).Tag.Get("ini"), ShouldNotBeEmpty)
@@ -23,7 +22,7 @@
 }
 
 func TestDisabledPoliciesUseFallbacks(t *testing.T) {
-	Convey("Each does without its matter", t, func() {
+	Convey("Each policy has a fallback", t, func() {
 		b, c := admit.NewBoard(), admit.NewCosts()
 		b.Told("read", 3, "archiv")
 		on, off := Usual(), Policies{}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -20,30 +20,31 @@
 
 const (
 	fatalPath = "/read/fatal"
-	// crashAfter is how long an instance works on what ends it.
+	// crashAfter is the time from the start of a fatal request to the crash.
 	crashAfter = 20 * time.Millisecond
-	// restartAfter is how long an instance is gone.
+	// restartAfter is the time from a crash until the target listens again.
 	restartAfter = 300 * time.Millisecond
-	// knownAfter is the time after the third end in which all nodes are to
-	// know of it, and furtherRuns how many instances may run the request then.
+	// propagationLimit is the time after the third crash within which all
+	// nodes must know of it, and maxFurtherRuns the number of instances that
+	// may execute the request after that.
 	propagationLimit = 3 * time.Second
 	maxFurtherRuns   = 3
 )
 
-// frailMesh is a mesh whose targets of one service end when they run a request
-// with a fatal path, and are back under another id.
+// crashMesh is a mesh in which the targets of one service crash on requests
+// with a fatal path and restart with a new instance id.
 type crashMesh struct {
 	*mesh
 	crashing []*vm
 
 	mu       sync.Mutex
-	crashes  []time.Time // of instances
+	crashes  []time.Time // time of each
 	revision directory.Revision
 	restarts sync.WaitGroup
 }
 
-// newFrailMesh starts one node beside a target that lives, and n beside others
-// that do not.
+// newCrashMesh starts one node with a stable target and n nodes with targets
+// that crash.
 func newCrashMesh(t *testing.T, n int) *crashMesh {
 	services := []string{"versand"}
 	for range n {
@@ -59,8 +60,8 @@
 	return f
 }
 
-// breakable lets v's target end when it begins to run a fatal request. Other
-// requests take some time, and are cut when the target ends.
+// crashOnFatal makes v's target crash on fatal requests. Other requests take
+// some time and are cut by a crash.
 func (f *crashMesh) crashOnFatal(v *vm) {
 	target := v.target
 	target.handleWith(func(w http.ResponseWriter, r *http.Request) {
@@ -74,7 +75,8 @@
 	})
 }
 
-// end ends v's target once, and starts another at its address.
+// crashTarget stops v's target, unless it has already been replaced, and
+// schedules its restart at the same address.
 func (f *crashMesh) crashTarget(v *vm, target *fakeTarget) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,23 +118,20 @@
 	return len(f.crashes)
 }
 
-// comeAgain sends the fatal request once at a node, whatever becomes of it.
+// sendTo sends a request to the i-th node, modulo the number of nodes.
 func (f *crashMesh) sendTo(path string, i int) reply {
 	_, got := f.get(f.vms[i%len(f.vms)], path)
 	return got
 }
 
-// awaitAll waits until every instance is back.
+// awaitRestarts waits until all targets are back.
 func (f *crashMesh) awaitRestarts() { f.restarts.Wait(); time.Sleep(50 * time.Millisecond) }
 
-// Users see one instance of a service after the other end, each seconds after
-// its start. A caller sends one request again and again, to any node, and each
-// instance that begins to run it ends. Nodes knew requests by their ids, which
-// are new each time, and forgot them with their answers; ended instances and
-// what they ran had to be put together from the logs of all nodes.
+// A request that crashes every instance executing it, sent repeatedly to any
+// node with a new id each time, must be stopped after a few crashes.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := newCrashMesh(t, 5)
-	Convey("After the third end few instances run it, whatever node it comes to; the same with an action", t, func() {
+	Convey("After the third crash few instances execute it, for reads and actions", t, func() {
 		for _, path := range []string{fatalPath, "/publish/fatal"} {
 			before := f.crashCount()
 			for i := 0; f.crashCount() < before+3 && i < 20; i++ {
@@ -152,18 +151,17 @@
 	})
 }
 
-// Requests are in progress at each instance that another request ends. They
-// have done nothing: sent again, they are served, also those that were there
-// every time.
-func TestConcurrentRequestsAreNotQuarantined(t *testing.T) {
+// Requests that were in progress at crashing instances must be served when
+// they are sent again, even if they were there at every crash.
+func TestConcurrentRequestsAreServed(t *testing.T) {
 	f := newCrashMesh(t, 5)
-	Convey("What was beside is served when it comes again", t, func() {
-		var beside []string
+	Convey("Concurrent requests are served when they are sent again", t, func() {
+		var concurrent []string
 		for i := 0; f.crashCount() < 3 && i < 20; i++ {
 			var wg sync.WaitGroup
 			for j, v := range f.vms {
 				path := fmt.Sprintf("/read/beside-%d-%d", i, j)
-				beside = append(beside, path)
+				concurrent = append(concurrent, path)
 				wg.Go(func() { f.get(v, path) })
 				wg.Go(func() { f.get(v, "/read/beside-all") })
 			}
@@ -174,27 +172,26 @@
 		}
 		So(f.crashCount(), ShouldBeGreaterThanOrEqualTo, 3)
 		f.awaitRestarts()
-		for _, path := range append(beside, "/read/beside-all") {
+		for _, path := range append(concurrent, "/read/beside-all") {
 			_, got := f.get(f.vms[0], path)
 			So(path+" "+http.StatusText(got.code), ShouldEqual, path+" OK")
 		}
 	})
 }
 
-// An instance ends under a request. Every node is to know, also one that
-// starts later and one that only asks.
+// All nodes must learn of a suspect request, including one that starts later.
 func TestNodesShareSuspectRequests(t *testing.T) {
 	f := newCrashMesh(t, 5)
 	knows := func(v *vm) bool {
-		k := quarantineStateAt(v.node, fatalPath)
-		return v.node.stage(k) >= quarantine.Suspect
+		qs := quarantineStateAt(v.node, fatalPath)
+		return v.node.stage(qs) >= quarantine.Suspect
 	}
-	Convey("All know within a second, and a node that starts anew", t, func() {
+	Convey("All nodes know within a second, and so does a new node", t, func() {
 		f.sendTo(fatalPath, 0)
 		So(f.crashCount(), ShouldBeGreaterThan, 0)
-		until := time.Now().Add(time.Second)
+		deadline := time.Now().Add(time.Second)
 		for _, v := range f.vms {
-			for !knows(v) && time.Now().Before(until) {
+			for !knows(v) && time.Now().Before(deadline) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			So(v.ip+" "+strconv.FormatBool(knows(v)), ShouldEqual, v.ip+" true")
@@ -202,29 +199,30 @@
 		f.seeds = []string{f.vms[1].node.cfg.Control}
 		v := f.mesh.start("127.0.0.40", "archiv")
 		f.vms = append(f.vms, v)
-		until = time.Now().Add(2 * time.Second)
-		for !knows(v) && time.Now().Before(until) {
+		deadline = time.Now().Add(2 * time.Second)
+		for !knows(v) && time.Now().Before(deadline) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		So(knows(v), ShouldBeTrue)
 	})
 }
 
-// keptAt is what a node keeps a read of a path apart by.
+// quarantineStateAt returns the quarantine state of a GET request at a node.
 func quarantineStateAt(n *Node, path string) quarantineState {
 	return n.quarantineStateOf(&call.Request{HTTP: &call.HTTPRequest{Method: http.MethodGet, Host: "h", URI: path, Caller: n.cfg.Service}})
 }
 
-// A quarantined request comes again. It has run nowhere, its caller is told so
-// at once and when to come back, and what differs in anything is served.
+// A quarantined request must be refused at every node without being executed,
+// with the remaining quarantine as Retry-After. Requests that differ in any
+// part must be served.
 func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
-	Convey("503 with the rest of the term, at every node; others are served", t, func() {
-		k := quarantineStateAt(m.vms[0].node, "/read/fatal")
+	Convey("503 with the remaining term at every node; other requests are served", t, func() {
+		qs := quarantineStateAt(m.vms[0].node, "/read/fatal")
 		for i, c := range []quarantine.Caller{"versand", "versand", "archiv"} {
-			m.vms[1].node.quarantine.Ended(k.fingerprint, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Alone: i == 2})
+			m.vms[1].node.quarantine.Ended(qs.fingerprint, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Alone: i == 2})
 		}
-		m.vms[1].node.queueReport(k.fingerprint)
+		m.vms[1].node.queueReport(qs.fingerprint)
 		time.Sleep(300 * time.Millisecond)
 		for _, v := range m.vms {
 			began := time.Now()
@@ -243,15 +241,13 @@
 	})
 }
 
-// During an upgrade a node of the version before asks, whose question has a
-// field less. It is to be held as long as it asks for and told what it knows
-// of; it is not understood, as messages whose fields go by their place are only
-// read with the same number of them. So are requests and answers between nodes
-// of two versions.
+// During an upgrade a node of the previous version sends a deltaRequest
+// without the last field. It must be answered, with its long-poll wait, and
+// without quarantine records, which the old version cannot decode.
 func TestShorterDeltaRequestIsAnswered(t *testing.T) {
 	m := newMesh(t, "archiv")
 	n := m.vms[0].node
-	Convey("A question with a field less is answered", t, func() {
+	Convey("A deltaRequest with one field less is answered", t, func() {
 		n.quarantine.Ended(1, quarantine.End{ID: 1, Caller: "archiv"})
 		body, err := msgpack.Marshal([]any{n.dir.Revision(), 200 * time.Millisecond})
 		So(err, ShouldBeNil)
--- a/sidecar/stats_test.go
+++ b/sidecar/stats_test.go
@@ -19,7 +19,7 @@
 	return string(b)
 }
 
-// lineOf returns the line of a metric whose name and labels begin so.
+// metricLine returns the first line of a metric that contains all labels.
 func metricLine(text, name string, labels ...string) string {
 next:
 	for _, l := range strings.Split(text, "\n") {
@@ -36,18 +36,18 @@
 	return ""
 }
 
-// An engineer sees from a node's metrics alone what callers got, how long it
-// took, and why requests were refused.
+// The metrics of a node must show the outcomes, durations and refusals of
+// requests.
 func TestMetricsReportOutcomes(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("Outcomes by service and class, tries, waits, refusals by cause, and beliefs", t, func() {
+	Convey("Requests, attempts, queue waits, refusals and gauges are exported", t, func() {
 		for range 3 {
 			m.get(m.vms[0], "/read/x")
 		}
 		m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		m.get(m.vms[0], "/none/")
 		m.vms[0].node.thresholds.Told("read", 0, "archiv")
-		for range 40 { // a part of sixteen is still admitted
+		for range 40 { // one part in sixteen is still admitted
 			m.get(m.vms[0], "/read/x")
 		}
 		text := readMetrics(m.vms[0])
@@ -64,7 +64,7 @@
 	})
 }
 
-// BenchmarkAnswered measures counting one answer.
+// BenchmarkAnswered measures the recording of one response.
 func BenchmarkAnswered(b *testing.B) {
 	s := newStats("n")
 	rt := &testRoutes[0]
--- a/sidecar/vouch_test.go
+++ b/sidecar/vouch_test.go
@@ -12,7 +12,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakeList is what the source answers to one node's questions for entries.
+// fakeSource is a directory source with a fixed result of Listed.
 type fakeSource struct {
 	directory.Source
 	mu     sync.Mutex
@@ -32,26 +32,25 @@
 	f.listed, f.err = listed, err
 }
 
-// healthy lets a target answer health checks, and everything else as usual.
+// setHealth makes the target answer health checks with a status code.
 func (v *vm) setHealth(code int) {
 	v.target.health.Store(int64(code))
 }
 
-// takeOff removes v's entry from what every node knows.
+// removeEntry removes v's instance from the directories of all nodes.
 func (m *mesh) removeEntry(v *vm, at directory.Revision) {
 	for _, o := range m.vms {
 		o.dir.Apply([]directory.Change{{Gone: v.self.ID, GoneAt: at}}, at)
 	}
 }
 
-// A VM is cut off from the store for ten seconds and reachable for everyone
-// else. Its instance's entry lapses. The instance is the only one of its
-// service, lives and answers; dropping it refuses every request that needs
-// the service, and all chains above it.
+// The directory entry of a healthy instance expires because its VM cannot
+// reach the source. Dropping the only instance of a service would fail all
+// requests that depend on it, so its node vouches for it.
 func TestVouchedInstanceStaysInUse(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	list := &fakeSource{}
-	m.vms[1].node.cfg.Source = list
+	source := &fakeSource{}
+	m.vms[1].node.cfg.Source = source
 	read := func() int {
 		_, got := m.get(m.vms[0], "/read/x")
 		return got.code
@@ -66,19 +65,19 @@
 			m.vms[0].dir.Settle()
 		}
 	}
-	Convey("Given a lapsed entry of a live instance", t, func() {
+	Convey("Given an expired entry of a live instance", t, func() {
 		m.vms[1].setHealth(http.StatusOK)
-		list.set(false, errors.New("no answer"))
+		source.set(false, errors.New("no answer"))
 		So(read(), ShouldEqual, http.StatusOK)
 		m.removeEntry(m.vms[1], 2)
 		settle()
-		Convey("Its node vouches for it, and it is used like a listed one", func() {
+		Convey("Its node vouches for it, and it stays in use", func() {
 			So(in().Unlisted, ShouldBeTrue)
 			So(in().Doubtful, ShouldBeFalse)
 			So(read(), ShouldEqual, http.StatusOK)
 			settle()
 			So(in().Doubtful, ShouldBeFalse)
-			Convey("Until it drains, though the store still does not answer", func() {
+			Convey("Until it drains, although the source does not answer", func() {
 				m.vms[1].setHealth(http.StatusServiceUnavailable)
 				settle()
 				settle()
@@ -89,14 +88,13 @@
 	})
 }
 
-// An instance leaves without a word: its entry goes while the store answers
-// everyone. Its node must not hold it, or it gets requests until it ends and
-// cuts them off.
+// An instance is removed from the directory while the source answers. Its
+// node must not vouch for it, or it would receive requests until it exits.
 func TestRemovedInstanceIsNotVouchedFor(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("It is gone as soon as its node was asked", t, func() {
-		list := &fakeSource{}
-		m.vms[1].node.cfg.Source = list
+	Convey("It is dropped once its node has been queried", t, func() {
+		source := &fakeSource{}
+		m.vms[1].node.cfg.Source = source
 		m.vms[1].setHealth(http.StatusOK)
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusOK)
--- a/sidecar/versions_test.go
+++ b/sidecar/wire_test.go
@@ -12,10 +12,9 @@
 
 var testRequest = deltaRequest{After: 300, Wait: time.Second, Told: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
 
-// A node of the version before asks ours for routes and instances, and ours
-// asks it.
+// The encoding of a deltaRequest must match that of the previous version.
 func TestDeltaRequestWireCompatibility(t *testing.T) {
-	Convey("Its question is read whole, and ours is the same to it", t, func() {
+	Convey("Decoding and encoding match the recorded bytes", t, func() {
 		var got deltaRequest
 		So(msgpack.Unmarshal(messagetest.Former(t, "question"), &got), ShouldBeNil)
 		So(got, ShouldResemble, testRequest)
@@ -25,7 +24,8 @@
 	})
 }
 
-// FuzzQuestion: whatever another node asks is read or is an error.
+// FuzzQuestion checks that a deltaRequest decoded from any input can be
+// encoded.
 func FuzzQuestion(f *testing.F) {
 	f.Add(messagetest.Former(f, "question"))
 	f.Fuzz(func(t *testing.T, b []byte) {
