--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -125,7 +125,7 @@
 		var inner reply
 		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			id := r.Header.Get("Request-Id")
-			if _, isCall := parentID(requestID(id)); !isCall {
+			if _, isChild := parentID(requestID(id)); !isChild {
 				_, inner = m.send(context.Background(), m.vms[1], http.MethodGet, "/read/x", "", map[string]string{"Request-Id": id + ".c1", "Account": "large"})
 			}
 			writeSigned(w, r, http.StatusOK, r.Header.Get("Account"))
@@ -151,8 +151,8 @@
 	}
 	routes.Accounts = newAccountBook(t, large, small)
 	rank := func(a *account.Account, route int) int {
-		r, of := routes.Rank(a, &testRoutes[route])
-		return admit.Squeeze(r, of)
+		r, total := routes.Rank(a, &testRoutes[route])
+		return admit.Squeeze(r, total)
 	}
 	Convey("Ranks order by account, then by route; requests without an account rank last", t, func() {
 		const read, publish, lookup, open = 0, 1, 2, 3
--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -25,7 +25,7 @@
 		code               int // expected status code
 	}
 
-	// admitNone refuses new requests except those of the highest rank.
+	// admitNone refuses new requests above level 0.
 	admitNone struct{}
 )
 
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -40,8 +40,8 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	After    directory.Revision
 	Wait     time.Duration // long-poll limit
-	// Told is the position up to which the sender has received the peer's
-	// quarantine records; nil from a node that keeps none.
+	// The position up to which the sender has received the peer's quarantine
+	// records; nil from a node that keeps none.
 	Told *quarantine.Cursor
 }
 
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -26,8 +26,8 @@
 			writeSigned(w, r, http.StatusOK, "")
 		})
 		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
-			for _, call := range []string{".c1", ".c2"} {
-				m.send(context.Background(), m.vms[1], http.MethodGet, "/lookup/x", "", map[string]string{"Request-Id": r.Header.Get("Request-Id") + call})
+			for _, suffix := range []string{".c1", ".c2"} {
+				m.send(context.Background(), m.vms[1], http.MethodGet, "/lookup/x", "", map[string]string{"Request-Id": r.Header.Get("Request-Id") + suffix})
 			}
 			time.Sleep(100 * time.Millisecond)
 			writeSigned(w, r, http.StatusOK, "")
--- a/sidecar/exit.go
+++ b/sidecar/exit.go
@@ -27,8 +27,9 @@
 
 // exitDuring returns the id of the target's exit during a request that ran
 // from began to failed, or 0 if the target did not exit. first is true for
-// the request that detected the exit. Safe for concurrent use.
-func (e *exitDetector) exitDuring(began, failed time.Time, probe func() bool) (exitID uint64, first bool) {
+// the request that detected the exit. exited probes whether the target has
+// stopped listening. Safe for concurrent use.
+func (e *exitDetector) exitDuring(began, failed time.Time, exited func() bool) (exitID uint64, first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.lastExit.After(began) {
@@ -38,7 +39,7 @@
 		return 0, false // another request has found the target listening since
 	}
 	e.lastCheck = time.Now()
-	if !probe() {
+	if !exited() {
 		return 0, false
 	}
 	e.lastExit, e.exitID = time.Now(), max(rand.Uint64(), 1)
--- a/sidecar/exit_test.go
+++ b/sidecar/exit_test.go
@@ -16,14 +16,14 @@
 		var detector exitDetector
 		began := time.Now()
 		probes := 0
-		probe := func() bool { probes++; return true }
+		exited := func() bool { probes++; return true }
 		var wg sync.WaitGroup
 		var mu sync.Mutex
 		detections := 0
 		failed := time.Now()
 		for range 20 {
 			wg.Go(func() {
-				id, first := detector.exitDuring(began, failed, probe)
+				id, first := detector.exitDuring(began, failed, exited)
 				mu.Lock()
 				defer mu.Unlock()
 				if first {
--- a/sidecar/header.go
+++ b/sidecar/header.go
@@ -14,8 +14,9 @@
 // headerSet is a set of header names.
 type headerSet map[string]bool
 
-// contentLength is recomputed for each response body.
-var contentLength = headerSet{"Content-Length": true}
+// responseDropHeaders are not copied from the target's response;
+// Content-Length is set anew.
+var responseDropHeaders = headerSet{"Content-Length": true}
 
 // newDropHeaders returns the headers that are not copied from the caller's
 // request, including the key and account headers if accounts is set.
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -50,14 +50,14 @@
 		Callers string // host:port that accepts requests from callers on this VM and from the local target
 		Peer    string // host:port that accepts requests from other nodes; the port is the same on all VMs
 		Control string // host:port that accepts requests from nodes without a directory; empty for none
-		// Seeds are Control addresses of other nodes, queried for the
+		// Seeds are control addresses of other nodes, queried for the
 		// directory at startup while the source does not answer.
 		Seeds   []string
 		Ready   string // host:port of the readiness endpoint
 		Metrics string // host:port of the metrics endpoint
 		Headers call.Headers
 		Tuning  Tuning
-		// Policies are the enabled policies; Usual enables all.
+		// Policies selects the enabled policies.
 		Policies Policies
 		// Grace is the time from Shutdown until the process is killed.
 		Grace     time.Duration
@@ -73,8 +73,7 @@
 		// BodyBytes bounds the total size of request bodies held in memory; 0
 		// means no bound.
 		BodyBytes int64
-		// Repeats is the retry budget of each service.
-		Repeats budget.WindowConfig
+		Repeats   budget.WindowConfig // retry budget of each service
 	}
 
 	// Node is a running sidecar. New builds one.
@@ -98,7 +97,7 @@
 		queueWait    admit.Wait // limits the queueing of new requests
 		retryAfter   admit.Wait // Retry-After of refused requests
 		running      *runningRequests
-		witness      *vouch.Witness // of the local instance
+		witness      *vouch.Witness // vouches for the local instance
 		vouchQueries pendingQueries // for unlisted instances
 		exits        exitDetector   // of the local target
 		quarantine   *quarantine.Book
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -20,11 +20,11 @@
 		m.vms[0].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			v := m.vms[0]
 			id := r.Header.Get("Request-Id")
-			from := v.node.originOf(requestID(id+".c1"), &testRoutes[2])
+			origin := v.node.originOf(requestID(id+".c1"), &testRoutes[2])
 			other := v.node.originOf(requestID("x.c1"), &testRoutes[2])
 			v.node.thresholds.Told("lookup", 0, "versand")
 			below, _ := v.node.thresholds.Below("read")
-			if !from.child || other.child || from.level != admit.LevelOf(2, requestID(id)) || below != 0 {
+			if !origin.child || other.child || origin.level != admit.LevelOf(2, requestID(id)) || below != 0 {
 				writeSigned(w, r, http.StatusInternalServerError, "not found")
 				return
 			}
@@ -44,13 +44,13 @@
 	Convey("The target's own failures are reported, those of child requests are not", t, func() {
 		for range 10 {
 			m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
-				call, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.Callers+"/lookup/x", nil)
+				child, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.Callers+"/lookup/x", nil)
 				if err != nil {
 					return
 				}
-				call.Host = "h"
-				call.Header.Set("Request-Id", r.Header.Get("Request-Id")+".c1")
-				resp, err := http.DefaultTransport.RoundTrip(call)
+				child.Host = "h"
+				child.Header.Set("Request-Id", r.Header.Get("Request-Id")+".c1")
+				resp, err := http.DefaultTransport.RoundTrip(child)
 				if err != nil || resp.StatusCode != http.StatusOK {
 					writeSigned(w, r, http.StatusInternalServerError, "a child request failed")
 				}
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -17,7 +17,7 @@
 	Thresholds  bool `ini:"thresholds"`   // refuse new requests at the entry node by the thresholds that targets report
 	Prospects   bool `ini:"prospects"`    // also refuse routes whose requests nearly all fail
 	Costs       bool `ini:"costs"`        // admit kinds of requests by their cost
-	Parts       bool `ini:"parts"`        // order queues by part instead of by arrival
+	Parts       bool `ini:"parts"`        // queue requests of equal rank by level instead of by arrival
 	Pace        bool `ini:"pace"`         // refuse requests that a slow target cannot finish before their deadline
 	Patience    bool `ini:"patience"`     // limit queueing of new requests to what their deadline allows
 	ComeBack    bool `ini:"come_back"`    // derive Retry-After from the caller's deadline
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -40,9 +40,9 @@
 }
 
 // pinnedInstance returns the instance to which an isolated request is pinned,
-// excluding tried ones. The choice depends on addresses only, so all nodes
-// agree on it. The node there detects a crash first and can hold further
-// requests of the kind that come from nodes not yet informed.
+// excluding tried ones. It is chosen by fingerprint and address and thus stays
+// at the same node when the instance restarts. That node detects a crash first
+// and holds further such requests from nodes that are not informed yet.
 func (qs quarantineState) pinnedInstance(all []directory.Instance, tried []directory.InstanceID) []directory.Instance {
 	var candidates, confirmed []directory.Instance
 	for _, in := range all {
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -229,7 +229,7 @@
 		a.Status = call.Failed
 		a.Reason = "target returned " + strconv.Itoa(resp.Code)
 	}
-	a.HTTP = &call.HTTPAnswer{Code: resp.Code, Header: endToEnd(resp.Header, contentLength)}
+	a.HTTP = &call.HTTPAnswer{Code: resp.Code, Header: endToEnd(resp.Header, responseDropHeaders)}
 	a.Body = resp.Body
 	return a
 }
