--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -30,9 +30,9 @@
 	case isChild && r.Header[n.cfg.Headers.Key] == nil:
 		// Child requests carry no key. This node may have restarted while the
 		// parent request was running, so the child may be retried.
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "parent request is not running on this node"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "call for a request that is not known to run here"}
 	case n.dir.SourceAway():
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "no account holds the key; the accounts may be outdated"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "no account holds the key in a version that may be old"}
 	}
 	return nil, &refusal{code: http.StatusUnauthorized, cause: causeKey, reason: "no account holds the key"}
 }
--- a/sidecar/body.go
+++ b/sidecar/body.go
@@ -29,7 +29,7 @@
 		limit = defaultBodyLimit
 	}
 	if maxTotal := n.tuning.Load().BodyBytes; maxTotal > 0 && n.heldBodyBytes.Load()+max(r.ContentLength, 0) > maxTotal {
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeBody, retryAfter: retryAfterUnavailable, reason: "out of memory for request bodies"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeBody, retryAfter: retryAfterUnavailable, reason: "no memory for the body"}
 	}
 	ctrl := http.NewResponseController(w)
 	if err := ctrl.SetReadDeadline(deadline); err != nil {
@@ -43,9 +43,9 @@
 	case errors.As(err, &tooLarge):
 		return nil, &refusal{code: http.StatusRequestEntityTooLarge, cause: causeBody, reason: err.Error()}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, &refusal{code: http.StatusRequestTimeout, cause: causeBody, reason: "request body was not received before the deadline"}
+		return nil, &refusal{code: http.StatusRequestTimeout, cause: causeBody, reason: "body was not sent in time"}
 	case err != nil:
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeBody, reason: "read body: " + err.Error()}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeBody, reason: "body: " + err.Error()}
 	}
 	if err := ctrl.SetReadDeadline(time.Time{}); err != nil {
 		n.log.WithError(err).Warn("read_deadline_kept")
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -95,7 +95,7 @@
 	received := time.Now()
 	routes := n.dir.View().Routes
 	if routes == nil {
-		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no routes loaded yet"}
+		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no routes known yet"}
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	rt, err := routes.Match(r.Host, path)
@@ -103,7 +103,7 @@
 		return nil, n.noRouteRefusal()
 	}
 	if r.Header.Get(n.cfg.Headers.RequestID) == "" {
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: n.cfg.Headers.RequestID + " header is missing"}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: n.cfg.Headers.RequestID + " is missing"}
 	}
 	timeout, err := n.requestTimeout(r, rt)
 	if err != nil {
@@ -187,11 +187,11 @@
 // partial work that would be discarded.
 func (n *Node) admitNew(rt *directory.Route, level call.Level, remaining time.Duration) *refusal {
 	if since, ok := n.drainingSince(); ok && since > n.cfg.Grace*refuseNewNum/refuseNewDen {
-		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, retryAfter: retryAfterUnavailable, reason: "node is shutting down"}
+		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, retryAfter: retryAfterUnavailable, reason: "node is leaving"}
 	}
 	if threshold := n.admission.Threshold(rt.Name); level > threshold {
 		return &refusal{code: http.StatusServiceUnavailable, cause: causeOverload, retryAfter: n.retryAfter(n.requestTimes(rt, remaining)),
-			reason: "overloaded or failing route: level " + strconv.Itoa(int(level)) + " exceeds threshold " + strconv.Itoa(int(threshold))}
+			reason: "overload or no prospects: level " + strconv.Itoa(int(level)) + " is over " + strconv.Itoa(int(threshold))}
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 // unavailable, because a newer version may contain the route.
 func (n *Node) noRouteRefusal() *refusal {
 	if n.dir.SourceAway() {
-		return &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no route matches; the routes may be outdated"}
+		return &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no route in a version that may be old"}
 	}
 	return &refusal{code: http.StatusNotFound, cause: causeNoRoute, reason: directory.ErrNoRoute.Error()}
 }
@@ -218,7 +218,7 @@
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || ms < 0 {
-		return 0, errors.New(n.cfg.Headers.Deadline + " is not a non-negative number of milliseconds: " + strconv.Quote(v))
+		return 0, errors.New(n.cfg.Headers.Deadline + " is not a number of milliseconds: " + strconv.Quote(v))
 	}
 	return min(timeout, time.Duration(ms)*time.Millisecond), nil
 }
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -32,7 +32,7 @@
 
 // errNoDirectory is returned by a node that has not loaded the directory yet
 // or is shutting down.
-var errNoDirectory = eris.New("node has no directory yet or is shutting down")
+var errNoDirectory = eris.New("node has nothing to tell")
 
 // deltaRequest is the body of a directory.since operation. The order of its
 // fields is the wire format.
@@ -147,5 +147,5 @@
 	n.decisions.Note("question_not_understood", func() log.Fields {
 		return log.Fields{"operation": r.Operation, "error": err.Error()}
 	})
-	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "decode request: " + err.Error()}
+	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "not understood: " + err.Error()}
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -54,7 +54,7 @@
 		n.retryBudget(q.Service).First()
 	}
 	var att attempts
-	last := call.Refuse(q.Request, "no available instance of "+q.Service, retryAfterNoInstance)
+	last := call.Refuse(q.Request, "no instance of "+q.Service, retryAfterNoInstance)
 	for range maxAttempts {
 		in, ok := n.balancer.Pick(n.pickCriteria(q, att.tried))
 		if !ok {
@@ -69,7 +69,7 @@
 	if att.mayHaveRun && last.Status == call.NotRun {
 		// The last attempt was refused, but an earlier one may have been
 		// executed.
-		last = call.Answer{ID: q.ID, Status: call.Unknown, Reason: "an earlier attempt may have been executed; the last was refused: " + last.Reason}
+		last = call.Answer{ID: q.ID, Status: call.Unknown, Reason: "an earlier try may have run; the last was refused: " + last.Reason}
 	}
 	if att.unreachable == len(att.tried) && n.stage(q.quarantine) == quarantine.Free {
 		// No instance is reachable from here. Requests that depend on this
@@ -183,7 +183,7 @@
 			return a, true
 		}
 	}
-	return call.Refuse(r, "node unreachable: connections closed before the request was sent", 0), false
+	return call.Refuse(r, "node unreachable: connections close", 0), false
 }
 
 // allowRetry reports whether the request is to be sent to another instance
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -84,11 +84,11 @@
 // refuseHeld refuses a suspect request without executing it. Held is set if
 // the request must not be sent to another instance.
 func (n *Node) refuseHeld(r call.Request, qs quarantineState) call.Answer {
-	a := call.Refuse(r, "request may crash instances, and a conflicting request is running", retryAfterHeld)
+	a := call.Refuse(r, "instances ended under this request, and another such is running", retryAfterHeld)
 	now := n.stage(qs)
 	a.Held = now >= quarantine.Isolated
 	if now == quarantine.Quarantined {
-		a.Reason = "quarantined: instances crashed while executing this request"
+		a.Reason = "quarantined: instances ended under this request"
 		a.RetryAfter = max(a.RetryAfter, n.quarantine.Left(qs.fingerprint, qs.caller))
 	}
 	return a
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -33,7 +33,7 @@
 		return n.serveOperation(ctx, r)
 	}
 	if since, draining := n.drainingSince(); draining && since > choose(n.cfg.Policies.ServePeers, peerDrainDelay, 0) {
-		a := call.Refuse(r, "node is shutting down", 0)
+		a := call.Refuse(r, "node is leaving", 0)
 		a.Leaving = true
 		return a
 	}
@@ -53,7 +53,7 @@
 	case usageOperation:
 		return n.serveUsage(r)
 	}
-	return call.Refuse(r, "unknown node operation", 0)
+	return call.Refuse(r, "not a request by route", 0)
 }
 
 // serveLocal serves a request by the local target within the time it has
@@ -69,7 +69,7 @@
 func (n *Node) serveTarget(ctx context.Context, r call.Request) call.Answer {
 	if self := n.self.Load(); self != nil && string(self.ID) != r.To {
 		// The sender's directory is outdated: the address has been reused.
-		a := call.Refuse(r, "address belongs to another instance", 0)
+		a := call.Refuse(r, "another instance is here", 0)
 		a.Leaving = true
 		return a
 	}
@@ -87,7 +87,7 @@
 func (n *Node) serveQueued(ctx context.Context, r call.Request, qs quarantineState) call.Answer {
 	deadline, _ := ctx.Deadline()
 	if !n.canMeetDeadline(r, deadline) {
-		return n.withLoad(r, call.Refuse(r, "target is too slow for the remaining time", 0))
+		return n.withLoad(r, call.Refuse(r, "target: too slow for the time left", 0))
 	}
 	n.thresholds.See(r.HTTP.Level)
 	n.meter.Arrive(r.HTTP.Level, n.targetTimes.Mean(r.Operation, initialTargetTime), n.gate.Waiting())
@@ -221,13 +221,13 @@
 		// The response is not from the target itself, or its body was encoded
 		// on the way. The request may have been executed.
 		a.Status = call.Unknown
-		a.Reason = "response " + strconv.Itoa(resp.Code) + " was not sent by the target itself or was modified"
+		a.Reason = "answer " + strconv.Itoa(resp.Code) + " is not the target's own"
 		return a
 	case resp.Code >= 200 && resp.Code < 300:
 		a.Status = call.OK
 	default:
 		a.Status = call.Failed
-		a.Reason = "target returned " + strconv.Itoa(resp.Code)
+		a.Reason = "target answered " + strconv.Itoa(resp.Code)
 	}
 	a.HTTP = &call.HTTPAnswer{Code: resp.Code, Header: endToEnd(resp.Header, responseDropHeaders)}
 	a.Body = resp.Body
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -71,7 +71,7 @@
 // the counts would be lost with it.
 func (n *Node) serveUsage(r call.Request) call.Answer {
 	if _, draining := n.drainingSince(); draining {
-		return call.Refuse(r, "node is shutting down", 0)
+		return call.Refuse(r, "node is leaving", 0)
 	}
 	var received account.Report
 	if err := msgpack.Unmarshal(r.Body, &received); err != nil {
