--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -18,47 +18,46 @@
 )
 
 type (
-	// benchKind is a kind of request that callers send in a benchmark.
-	benchKind struct {
+	// benchRequest is a kind of request to be benchmarked.
+	benchRequest struct {
 		name, method, path string
-		body, answer       int // bytes
-		code               int // of its answer
+		body, answer       int // in bytes
+		code               int // expected status code
 	}
 
-	// nobody admits no new request of the lower ranks.
-	nobody struct{}
+	// admitNone refuses new requests above level 0.
+	admitNone struct{}
 )
 
 var (
-	benchRead    = benchKind{"get_1.5kB", "GET", "/read/leny950/2f", 0, 1500, 200}
-	benchPublish = benchKind{"put_6kB", "PUT", "/publish/leny950/2f", 300, 6000, 200}
-	benchRefused = benchKind{"get", "GET", "/read/leny950/2f", 0, 0, 503}
+	benchRead    = benchRequest{"get_1.5kB", "GET", "/read/leny950/2f", 0, 1500, 200}
+	benchPublish = benchRequest{"put_6kB", "PUT", "/publish/leny950/2f", 300, 6000, 200}
+	benchRefused = benchRequest{"get", "GET", "/read/leny950/2f", 0, 0, 503}
 )
 
-func (nobody) Threshold(string) call.Level { return 0 }
+func (admitNone) Threshold(string) call.Level { return 0 }
 
-// BenchmarkRequest is the cost of a request through two nodes to the target
-// beside the second, with callers and targets that do as little as they can.
-// All are in this process: the processor time is that of both nodes and the
-// kernel, and a little of the others'.
+// BenchmarkRequest measures a request through two nodes to the target of the
+// second, with minimal callers and targets. The CPU time covers the whole
+// process, including callers and targets, and the kernel.
 func BenchmarkRequest(b *testing.B) {
-	for _, k := range []benchKind{benchRead, benchPublish} {
+	for _, k := range []benchRequest{benchRead, benchPublish} {
 		for _, callers := range []int{1, 50, 500} {
-			b.Run(fmt.Sprintf("%s/callers=%d", k.name, callers), func(b *testing.B) { benchMesh(b).load(b, k, callers) })
+			b.Run(fmt.Sprintf("%s/callers=%d", k.name, callers), func(b *testing.B) { benchMesh(b).runLoad(b, k, callers) })
 		}
 	}
 }
 
-// BenchmarkRefused is the cost of a request that is refused where it enters.
+// BenchmarkRefused measures a request that is refused at the entry node.
 func BenchmarkRefused(b *testing.B) {
 	m := benchMesh(b)
-	m.vms[0].node.admission = nobody{}
-	m.load(b, benchRefused, 50)
+	m.vms[0].node.admission = admitNone{}
+	m.runLoad(b, benchRefused, 50)
 }
 
-// benchMesh is two nodes, of which the second's target serves all requests.
+// benchMesh starts two nodes; the second's target serves all requests.
 func benchMesh(b *testing.B) *mesh {
-	m := &mesh{t: b, port: freePort(b), serve: serveBare}
+	m := &mesh{t: b, port: freePort(b), serve: serveMinimal}
 	m.populate([]string{"entwurf", "archiv"})
 	for _, v := range m.vms {
 		v.node.gate.SetLimit(1000)
@@ -67,13 +66,13 @@
 	return m
 }
 
-// load lets callers on the first VM send b.N requests.
-func (m *mesh) load(b *testing.B, k benchKind, callers int) {
+// runLoad sends b.N requests from concurrent callers on the first VM.
+func (m *mesh) runLoad(b *testing.B, req benchRequest, callers int) {
 	var left, sent atomic.Int64
 	left.Store(int64(b.N))
 	b.ReportAllocs()
 	b.ResetTimer()
-	began := processorTime()
+	began := cpuTime()
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -86,7 +85,7 @@
 			in := bufio.NewReader(c)
 			for left.Add(-1) >= 0 {
 				id := "c" + strconv.Itoa(i) + "r" + strconv.FormatInt(sent.Add(1), 10)
-				if code, err := exchange(c, in, k, id); err != nil || code != k.code {
+				if code, err := roundTrip(c, in, req, id); err != nil || code != req.code {
 					b.Errorf("%d, %v", code, err)
 					return
 				}
@@ -94,27 +93,27 @@
 		})
 	}
 	wg.Wait()
-	b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// exchange sends a request as a caller does and reads its answer.
-func exchange(c net.Conn, in *bufio.Reader, k benchKind, id string) (code int, err error) {
-	head := k.method + " " + k.path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 5000\r\nAccept: */*\r\nUser-Agent: panel/1.0\r\n"
-	if k.body > 0 {
-		head += "Content-Length: " + strconv.Itoa(k.body) + "\r\n"
+// roundTrip sends a request and reads the response.
+func roundTrip(c net.Conn, in *bufio.Reader, req benchRequest, id string) (code int, err error) {
+	head := req.method + " " + req.path + " HTTP/1.1\r\nHost: h\r\nRequest-Id: " + id + "\r\nDeadline-Ms: 5000\r\nAccept: */*\r\nUser-Agent: panel/1.0\r\n"
+	if req.body > 0 {
+		head += "Content-Length: " + strconv.Itoa(req.body) + "\r\n"
 	}
-	if _, err := io.WriteString(c, head+"\r\n"+strings.Repeat("b", k.body)); err != nil {
+	if _, err := io.WriteString(c, head+"\r\n"+strings.Repeat("b", req.body)); err != nil {
 		return 0, err
 	}
-	first, _, err := readBare(in)
+	first, _, err := readMessage(in)
 	if err != nil {
 		return 0, err
 	}
 	return strconv.Atoi(strings.Fields(first)[1])
 }
 
-// serveBare answers as a target does, at once.
-func serveBare(l net.Listener, _ string) {
+// serveMinimal answers every request immediately.
+func serveMinimal(l net.Listener, _ string) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -124,7 +123,7 @@
 			defer c.Close()
 			in := bufio.NewReader(c)
 			for {
-				first, id, err := readBare(in)
+				first, id, err := readMessage(in)
 				if err != nil {
 					return
 				}
@@ -139,8 +138,9 @@
 	}
 }
 
-// readBare reads a message and returns its first line and its id.
-func readBare(in *bufio.Reader) (first, id string, err error) {
+// readMessage reads an HTTP message and returns its first line and its
+// request id.
+func readMessage(in *bufio.Reader) (first, id string, err error) {
 	size := 0
 	for {
 		line, err := in.ReadString('\n')
@@ -164,7 +164,7 @@
 	}
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
 		return 0
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -10,27 +10,27 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The target two calls below is short of room. Only the node at which
-// requests enter can favour those that take little of it, and it sees neither
-// the target nor the calls: what they took comes back with the answers.
-func TestTheSlotTimeOfCallsIsToldWhereTheRequestEntered(t *testing.T) {
+// Admission by cost happens at the entry node, which sees neither the
+// saturated target nor the child requests. The slot time must be returned
+// with the responses.
+func TestChildSlotTimeIsReportedToEntryNode(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv", "versand")
-	Convey("A read's cost is the time of its calls at the full target", t, func() {
+	Convey("The cost of a read is the slot time of its child requests at the saturated target", t, func() {
 		full := m.vms[2].node
 		for full.meter.Threshold() == admit.Top {
 			full.meter.Arrive(2*admit.Parts, time.Minute, 0)
 			time.Sleep(10 * time.Millisecond)
 		}
-		m.vms[2].target.on(func(w http.ResponseWriter, r *http.Request) {
+		m.vms[2].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(20 * time.Millisecond)
-			signed(w, r, http.StatusOK, "")
+			writeSigned(w, r, http.StatusOK, "")
 		})
-		m.vms[1].target.on(func(w http.ResponseWriter, r *http.Request) {
-			for _, call := range []string{".c1", ".c2"} {
-				m.send(context.Background(), m.vms[1], http.MethodGet, "/lookup/x", "", map[string]string{"Request-Id": r.Header.Get("Request-Id") + call})
+		m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
+			for _, suffix := range []string{".c1", ".c2"} {
+				m.send(context.Background(), m.vms[1], http.MethodGet, "/lookup/x", "", map[string]string{"Request-Id": r.Header.Get("Request-Id") + suffix})
 			}
 			time.Sleep(100 * time.Millisecond)
-			signed(w, r, http.StatusOK, "")
+			writeSigned(w, r, http.StatusOK, "")
 		})
 		_, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusOK)
