--- a/wire/conn.go
+++ b/wire/conn.go
@@ -13,33 +13,33 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// DialConfig is what a Conn is built from.
+// DialConfig configures a Conn.
 type DialConfig struct {
 	From      string         // this node's instance name, sent with each request
-	OnVersion func(v uint64) // told the text version each answer carries; may be nil
-	// Trusting leaves a peer that answers no ping unsuspected until its
-	// connection is closed for silence.
+	OnVersion func(v uint64) // called with the configuration version in each answer; may be nil
+	// Trusting disables suspicion: a peer that answers no pings is not
+	// suspected before its connection is closed with ErrSilent.
 	Trusting bool
-	// Dial opens the network connection; nil for TCP.
+	// Dial opens the network connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Conn is the calling side of one connection to a peer node. It is safe for
-// concurrent use; calls share the connection and are told apart by stream.
+// Conn is the client side of a connection to a peer node. Concurrent calls
+// share the connection. It is safe for concurrent use.
 type Conn struct {
 	nc   net.Conn
 	cfg  DialConfig
 	out  *frameWriter
 	done chan struct{}
 
-	heard     atomic.Bool // a frame was read since the last Check
-	suspected atomic.Bool // the peer does not answer a ping
+	received  atomic.Bool // a frame was read since the last Check
+	suspected atomic.Bool // see Suspect
 
-	mu      sync.Mutex // guards the fields below
-	next    Stream
-	pending map[Stream]waiter
-	err     error
-	silence silence
+	mu         sync.Mutex // guards the fields below
+	lastStream Stream
+	pending    map[Stream]pendingCall
+	err        error
+	probe      probeState
 }
 
 // Dial opens a connection to a peer's msgpack listener at addr.
@@ -67,18 +67,18 @@
 		cfg:     cfg,
 		out:     newFrameWriter(nc),
 		done:    make(chan struct{}),
-		pending: map[Stream]waiter{},
+		pending: map[Stream]pendingCall{},
 	}
-	go c.read()
+	go c.readLoop()
 	return c
 }
 
-// Call sends r and waits for its answer or ctx's end. An error (wrapping
-// ErrClosed) means the call was never written, so nothing of it ran. A call
-// that was written but got no answer, because the connection broke or ctx
-// ended, returns an Answer with status Unknown whose RetriesUsed is the whole
-// budget sent: what the call caused below is never reported, and counting
-// less would let a retry spend the same budget twice.
+// Call sends r and waits for its answer or for the end of ctx. An error, which
+// wraps ErrClosed, means that the request was not written and did not run. If
+// the request was written and the connection fails or ctx ends before the
+// answer, Call returns an Answer with status Unknown and RetriesUsed set to the
+// whole budget: the retries spent downstream are not known, and a lower count
+// would let a retry spend the same budget twice.
 func (c *Conn) Call(ctx context.Context, r call.Request, version uint64) (call.Answer, error) {
 	ch := make(chan call.Answer, 1)
 	c.mu.Lock()
@@ -86,35 +86,35 @@
 		c.mu.Unlock()
 		return call.Answer{}, eris.Wrap(ErrClosed, c.err.Error())
 	}
-	c.next++
-	s := c.next
-	c.pending[s] = waiter{id: r.ID, ch: ch, yields: r.Yields}
+	c.lastStream++
+	s := c.lastStream
+	c.pending[s] = pendingCall{id: r.ID, ch: ch, yields: r.Yields}
 	c.mu.Unlock()
 	if err := c.out.write(Frame{Kind: KindRequest, Stream: s, Request: &r, Config: version, From: c.cfg.From}); err != nil {
-		c.forget(s)
-		c.fail(err)
+		c.removePending(s)
+		c.closeWithError(err)
 		return call.Answer{}, eris.Wrap(ErrClosed, err.Error())
 	}
 	select {
 	case a, ok := <-ch:
 		if !ok {
-			return lost(r, "connection lost or silent after sending"), nil
+			return unknownAnswer(r, "connection lost or silent after sending"), nil
 		}
 		return a, nil
 	case <-ctx.Done():
-		c.forget(s)
+		c.removePending(s)
 		if errors.Is(ctx.Err(), context.Canceled) {
-			// The caller left before its deadline; the peer cannot know. At
-			// the deadline it stops by itself.
+			// The peer enforces the deadline itself but must be told of an
+			// earlier cancellation.
 			c.out.write(Frame{Kind: KindCancel, Stream: s})
-			return lost(r, "given up by its caller"), nil
+			return unknownAnswer(r, "given up by its caller"), nil
 		}
-		return lost(r, "deadline passed after sending"), nil
+		return unknownAnswer(r, "deadline passed after sending"), nil
 	}
 }
 
-// lost is the answer to a call that was sent and never answered.
-func lost(r call.Request, reason string) call.Answer {
+// unknownAnswer is the result of a call that was sent but not answered.
+func unknownAnswer(r call.Request, reason string) call.Answer {
 	return call.Answer{ID: r.ID, Status: call.Unknown, Reason: reason, RetriesUsed: r.Budget}
 }
 
@@ -125,19 +125,20 @@
 	return c.err
 }
 
-// Close closes the connection; calls in flight end with status Unknown.
+// Close closes the connection; pending calls end with status Unknown. It always
+// returns nil.
 func (c *Conn) Close() error {
-	c.fail(ErrClosed)
+	c.closeWithError(ErrClosed)
 	return nil
 }
 
-func (c *Conn) forget(s Stream) {
+func (c *Conn) removePending(s Stream) {
 	c.mu.Lock()
 	delete(c.pending, s)
 	c.mu.Unlock()
 }
 
-func (c *Conn) fail(err error) {
+func (c *Conn) closeWithError(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -152,19 +153,18 @@
 	close(c.done)
 }
 
-// read delivers answers to their callers. An answer whose stream is no longer
-// pending (late, duplicated, or for a call that gave up) is dropped, and an
-// answer whose id differs from the call's is dropped too: a caller gets its
-// own whole answer or none.
-func (c *Conn) read() {
+// readLoop delivers answers to their callers. It drops answers that are late,
+// duplicated or for a cancelled call, and answers whose request ID differs from
+// the pending call's, so that a caller never gets the answer to another call.
+func (c *Conn) readLoop() {
 	dec := msgpack.NewDecoder(bufio.NewReader(c.nc))
 	for {
 		var f Frame
 		if err := dec.Decode(&f); err != nil {
-			c.fail(err)
+			c.closeWithError(err)
 			return
 		}
-		c.heard.Store(true)
+		c.received.Store(true)
 		if f.Kind != KindAnswer || f.Answer == nil {
 			continue
 		}
@@ -187,9 +187,9 @@
 	}
 }
 
-// waiter is one call waiting for its answer.
-type waiter struct {
+// pendingCall is a call waiting for its answer; ch is closed if none will come.
+type pendingCall struct {
 	id     call.RequestID
 	ch     chan call.Answer
-	yields bool
+	yields bool // call.Request.Yields
 }
--- a/wire/conn_bench_test.go
+++ b/wire/conn_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// BenchmarkCall measures one call and its answer over a multiplexed
-// loopback connection, with many callers at once as on a busy node.
+// BenchmarkCall measures concurrent calls over one loopback connection. Its
+// cpu-ns/op includes both ends.
 func BenchmarkCall(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,17 +44,15 @@
 	b.ReportMetric(float64((cpuTime()-cpu).Nanoseconds())/float64(b.N), "cpu-ns/op")
 }
 
-// cpuTime returns the user and system time this process has used; both ends
-// of a benchmark's connection are in it, so a difference over b.N calls is
-// the CPU of one hop at both nodes.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &ru)
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// BenchmarkFrameSize reports the encoded size of the frames a node sends:
-// a typical request and answer with a 256-byte body, and a ping.
+// BenchmarkFrameSize reports the encoded size of a request and an answer with a
+// 256-byte body, and of a ping.
 func BenchmarkFrameSize(b *testing.B) {
 	r := call.Request{ID: "0c4b6a8e-6f6e-4c35-9d55-2f0f5d1c2a11", Service: "freigabe", Operation: "approve",
 		Key: "release-4711/freigabe.approve", Remaining: 2 * time.Second, Budget: 3, Body: make([]byte, 256)}
@@ -70,8 +68,8 @@
 	}
 }
 
-// BenchmarkConnMemory reports the heap one idle peer connection holds on
-// the calling side and the answering side together.
+// BenchmarkConnMemory reports the heap used by an idle connection, client and
+// server side together.
 func BenchmarkConnMemory(b *testing.B) {
 	const conns = 200
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -90,7 +88,7 @@
 			if cs[i], err = Dial(context.Background(), l.Addr().String(), DialConfig{}); err != nil {
 				b.Fatal(err)
 			}
-			cs[i].Call(context.Background(), call.Request{}, 1) // both sides have set up their buffers
+			cs[i].Call(context.Background(), call.Request{}, 1) // make both sides allocate their buffers
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/wire/conn_test.go
+++ b/wire/conn_test.go
@@ -15,10 +15,10 @@
 	"pgregory.net/rapid"
 )
 
-// shuffledPeer reads n request frames, then answers them in the order perm
-// gives, sending each answer twice and, before it, an answer on the same
-// stream with another request's id.
-func shuffledPeer(t *rapid.T, l net.Listener, n int, perm []int) {
+// serveShuffled reads n request frames, then answers them in the order given by
+// perm. It sends each answer twice, and before it an answer on the same stream
+// with the ID of another request.
+func serveShuffled(t *rapid.T, l net.Listener, n int, perm []int) {
 	nc, err := l.Accept()
 	if err != nil {
 		return
@@ -47,20 +47,18 @@
 	time.Sleep(50 * time.Millisecond)
 }
 
-// Answers on a shared connection come back late, twice and out of order,
-// and a confused peer sends one caller's stream an answer with another
-// request's id. Every caller must get exactly its own whole answer: a mixed
-// up answer would show an editor someone else's draft.
-func TestCallersGetOnlyTheirOwnWholeAnswer(t *testing.T) {
+// Each call must get its own complete answer, even if the peer sends answers out
+// of order, twice, or with the ID of another request on the call's stream.
+func TestCallsReceiveOnlyTheirOwnAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 24).Draw(t, "calls")
-		perm := rapid.Permutation(seq(n)).Draw(t, "order")
+		perm := rapid.Permutation(sequence(n)).Draw(t, "order")
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
-		go shuffledPeer(t, l, n, perm)
+		go serveShuffled(t, l, n, perm)
 		c, err := Dial(context.Background(), l.Addr().String(), DialConfig{})
 		if err != nil {
 			t.Fatal(err)
@@ -88,7 +86,7 @@
 	})
 }
 
-func seq(n int) []int {
+func sequence(n int) []int {
 	s := make([]int, n)
 	for i := range s {
 		s[i] = i
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire carries calls between nodes: msgpack frames over one TCP
-// connection per peer, many calls in flight on it at once, each answer
-// matched to its call by stream number and request id.
+// Package wire implements the RPC protocol between nodes: msgpack frames over
+// one multiplexed TCP connection per peer. Answers are matched to calls by
+// stream number and request ID.
 package wire
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -5,10 +5,10 @@
 )
 
 var (
-	// ErrClosed is returned for calls on a connection that has closed.
+	// ErrClosed is returned for calls on a closed connection.
 	ErrClosed = eris.New("connection closed")
-	// ErrSuspect is returned by Get for a peer that does not answer a ping.
+	// ErrSuspect is returned by Get for a peer that does not answer pings.
 	ErrSuspect = eris.New("peer does not answer")
-	// ErrSilent is returned when a connection stopped answering pings.
+	// ErrSilent is why a connection was closed whose peer did not answer pings.
 	ErrSilent = eris.New("connection went silent")
 )
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -7,22 +7,22 @@
 )
 
 type (
-	// Kind says what a frame carries.
+	// Kind is the type of a frame.
 	Kind uint8
 
-	// Stream numbers one call on one connection; the caller picks it.
+	// Stream identifies a call on its connection; the caller assigns it.
 	Stream uint64
 
-	// Frame is the one message type on a node-to-node connection, encoded as
-	// msgpack with its fields in this order; new ones come last. Frames with
-	// named fields, as nodes sent them before, are read too.
+	// Frame is the message type of a node-to-node connection. It is encoded
+	// as a msgpack array of its fields in this order, so new fields go last.
+	// Frames encoded as maps, as older versions sent them, can be decoded too.
 	Frame struct {
 		_msgpack struct{}      `msgpack:",as_array"`
 		Kind     Kind          `msgpack:"kind"`
 		Stream   Stream        `msgpack:"stream"`
 		Request  *call.Request `msgpack:"request,omitempty"`
 		Answer   *call.Answer  `msgpack:"answer,omitempty"`
-		Config   uint64        `msgpack:"config"`         // version of the text in force at the sender
+		Config   uint64        `msgpack:"config"`         // configuration version in effect at the sender
 		From     string        `msgpack:"from,omitempty"` // instance name of the sender of a request
 	}
 )
@@ -30,19 +30,18 @@
 const (
 	// KindRequest carries a call.Request.
 	KindRequest Kind = iota + 1
-	// KindAnswer carries the call.Answer to the request with the same stream.
+	// KindAnswer carries the call.Answer to the request on the same stream.
 	KindAnswer
-	// KindPing asks the peer to answer with KindPong; it proves the
-	// connection still delivers.
+	// KindPing is a keepalive probe, answered with KindPong.
 	KindPing
-	// KindPong answers a KindPing with the same stream.
+	// KindPong answers the KindPing on the same stream.
 	KindPong
-	// KindCancel gives up the request with the same stream; no answer is
-	// needed.
+	// KindCancel cancels the request on the same stream; its answer is
+	// ignored.
 	KindCancel
 )
 
-// namedFrame is a Frame whose fields have names.
+// namedFrame decodes a Frame encoded as a map; it lacks the DecodeMsgpack method.
 type namedFrame Frame
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -8,12 +8,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Nodes are replaced one after the other. One that runs the version before
-// sends frames whose fields have names; a node that could not read them would
-// close the connection, and the two halves of the fleet could not call each
-// other until the last is replaced.
-func TestFramesWithNamedFieldsAreRead(t *testing.T) {
-	Convey("A frame of the version before is the same frame", t, func() {
+// Older nodes encode frames as maps. A node that could not decode them would
+// close the connection, and old and new nodes could not call each other during a
+// rolling upgrade.
+func TestDecodeFrameWithNamedFields(t *testing.T) {
+	Convey("A frame encoded as a map is decoded", t, func() {
 		named := map[string]any{"kind": KindRequest, "stream": 7, "config": 42, "from": "archiv-1",
 			"request": map[string]any{"id": "r1", "service": "archiv", "operation": "read", "remaining": 2000000000, "budget": 3,
 				"body": []byte("b"), "http": []any{"GET", "h", "/x", []any{[]any{"A", "b"}}, "entwurf", 33, true, false, true, 0}}}
@@ -26,14 +25,14 @@
 		So(f.Request.ID, ShouldEqual, call.RequestID("r1"))
 		So(f.Request.HTTP.Header, ShouldResemble, []call.Field{{Name: "A", Value: "b"}})
 		So(f.Request.HTTP.Level, ShouldEqual, 33)
-		Convey("And what goes out now is smaller and comes back whole", func() {
+		Convey("Its array encoding is smaller and decodes to the same request", func() {
 			out, err := msgpack.Marshal(&f)
 			So(err, ShouldBeNil)
 			So(len(out), ShouldBeLessThan, len(b)-20)
-			var again Frame
-			So(msgpack.Unmarshal(out, &again), ShouldBeNil)
-			So(again.Request.Body, ShouldResemble, f.Request.Body)
-			So(again.Request.Remaining, ShouldEqual, f.Request.Remaining)
+			var decoded Frame
+			So(msgpack.Unmarshal(out, &decoded), ShouldBeNil)
+			So(decoded.Request.Body, ShouldResemble, f.Request.Body)
+			So(decoded.Request.Remaining, ShouldEqual, f.Request.Remaining)
 		})
 	})
 }
--- a/wire/silence_test.go
+++ b/wire/keepalive_test.go
@@ -14,15 +14,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// pipe returns a Conn over an in-memory connection and the peer's end.
+// pipe returns a Conn over an in-memory connection, and the peer's end of it.
 func pipe() (*Conn, net.Conn) {
-	near, far := net.Pipe()
-	return NewConn(near, DialConfig{}), far
+	local, remote := net.Pipe()
+	return NewConn(local, DialConfig{}), remote
 }
 
-// checked calls Check as a node does until d has passed or c closes, and
+// checkFor calls Check every CheckEvery until d has passed or c closes, and
 // returns how long it was open.
-func checked(c *Conn, d time.Duration) time.Duration {
+func checkFor(c *Conn, d time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < d && c.Err() == nil {
 		time.Sleep(CheckEvery)
@@ -31,9 +31,9 @@
 	return time.Since(start)
 }
 
-// answerPings reads frames from far and answers pings only, counting them.
-func answerPings(far net.Conn, pings *int) {
-	dec, enc := msgpack.NewDecoder(bufio.NewReader(far)), msgpack.NewEncoder(far)
+// answerPings reads frames from peer, answers only pings and counts them.
+func answerPings(peer net.Conn, pings *int) {
+	dec, enc := msgpack.NewDecoder(bufio.NewReader(peer)), msgpack.NewEncoder(peer)
 	for {
 		var f Frame
 		if dec.Decode(&f) != nil {
@@ -46,11 +46,9 @@
 	}
 }
 
-// A box between two nodes forgets a connection on which a call waits: it
-// stays open, takes what is written and delivers nothing. The call would
-// wait out its deadline of a minute. It must end within SilenceBound, so
-// that its caller can go on over a new connection.
-func TestSilentConnectionWithACallIsClosed(t *testing.T) {
+// A half-open connection accepts writes and delivers nothing. A pending call
+// must end within SilenceBound instead of waiting until its deadline.
+func TestSilentConnWithPendingCallIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
 		defer far.Close()
@@ -62,8 +60,8 @@
 			a, _ := c.Call(ctx, call.Request{ID: "r"}, 1)
 			got <- a
 		}()
-		open := checked(c, time.Minute)
-		Convey("It is closed as silent within SilenceBound and the call is unknown", t, func() {
+		open := checkFor(c, time.Minute)
+		Convey("It is closed with ErrSilent within SilenceBound and the call ends as unknown", t, func() {
 			So(c.Err(), ShouldEqual, ErrSilent)
 			So(open, ShouldBeLessThanOrEqualTo, SilenceBound)
 			So((<-got).Status, ShouldEqual, call.Unknown)
@@ -71,11 +69,10 @@
 	})
 }
 
-// The way to a peer's data centre is cut while calls wait. A read can still
-// be made at another instance if that is known soon; an action has to wait,
-// since it may be running, and must not be ended as long as it may be
-// answered. When the cut heals, the connection is used again.
-func TestASilentPeerIsSuspectedBeforeItIsGivenUp(t *testing.T) {
+// When a peer goes silent, a call that may be sent to another instance (a read)
+// must end within SuspectBound. Other calls may be running and must stay pending
+// while they can still be answered. A frame from the peer clears the suspicion.
+func TestSilentPeerIsSuspectedBeforeClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
 		defer far.Close()
@@ -91,7 +88,7 @@
 				frames <- f
 			}
 		}()
-		read, action := make(chan call.Answer, 1), make(chan call.Answer, 1)
+		read, write := make(chan call.Answer, 1), make(chan call.Answer, 1)
 		send := func(id call.RequestID, yields bool, ch chan call.Answer) Frame {
 			go func() {
 				a, _ := c.Call(context.Background(), call.Request{ID: id, Yields: yields}, 1)
@@ -101,8 +98,8 @@
 		}
 		start := time.Now()
 		send("read", true, read)
-		held := send("action", false, action)
-		Convey("The read ends within SuspectBound, the action when it is answered", t, func() {
+		writeFrame := send("action", false, write)
+		Convey("The read ends within SuspectBound, the write when it is answered", t, func() {
 			for !c.Suspect() {
 				time.Sleep(CheckEvery)
 				c.Check()
@@ -110,8 +107,8 @@
 			So(time.Since(start), ShouldBeLessThanOrEqualTo, SuspectBound)
 			So((<-read).Status, ShouldEqual, call.Unknown)
 			So(c.Err(), ShouldBeNil)
-			So(msgpack.NewEncoder(far).Encode(&Frame{Kind: KindAnswer, Stream: held.Stream, Answer: &call.Answer{ID: "action", Status: call.OK}}), ShouldBeNil)
-			So((<-action).Status, ShouldEqual, call.OK)
+			So(msgpack.NewEncoder(far).Encode(&Frame{Kind: KindAnswer, Stream: writeFrame.Stream, Answer: &call.Answer{ID: "action", Status: call.OK}}), ShouldBeNil)
+			So((<-write).Status, ShouldEqual, call.OK)
 			c.Check()
 			So(c.Suspect(), ShouldBeFalse)
 		})
@@ -119,25 +116,24 @@
 	})
 }
 
-// The same happens to a connection that carries no call at the time.
-func TestSilentIdleConnectionIsClosed(t *testing.T) {
+// A half-open connection must be detected without pending calls too.
+func TestSilentIdleConnIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
 		defer far.Close()
 		go io.Copy(io.Discard, far)
-		open := checked(c, time.Minute)
-		Convey("It is closed as silent within IdleSilenceBound", t, func() {
+		open := checkFor(c, time.Minute)
+		Convey("It is closed with ErrSilent within IdleSilenceBound", t, func() {
 			So(c.Err(), ShouldEqual, ErrSilent)
 			So(open, ShouldBeLessThanOrEqualTo, IdleSilenceBound)
 		})
 	})
 }
 
-// A target takes half a minute over a call, and another connection carries
-// none: both peers answer pings. Neither may be closed, or slowness would
-// be taken for silence; the idle one is pinged every 5.5 s at most, which
-// keeps pings within the control budget.
-func TestSlowAndIdleConnectionsStayOpen(t *testing.T) {
+// A slow call and an idle connection must not be taken for silence while the
+// peer answers pings. The idle connection is pinged at most every 5.5 s, which
+// bounds the control traffic.
+func TestSlowAndIdleConnsStayOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, farSlow := pipe()
 		idle, farIdle := pipe()
@@ -167,10 +163,9 @@
 	})
 }
 
-// A peer stops reading until the socket is full: the next write blocks, and
-// every call and ping would wait behind it for good. The write must fail
-// within its timeout and end the calls with it.
-func TestStalledPeerBlocksNoCall(t *testing.T) {
+// If a peer stops reading, writes block once the socket buffer is full. The write
+// must fail within writeTimeout and end all calls on the connection.
+func TestStalledPeerDoesNotBlockCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
 		defer far.Close()
@@ -182,7 +177,7 @@
 				ended <- err != nil || a.Status == call.Unknown
 			}()
 		}
-		Convey("All calls end at the write timeout, unanswered", t, func() {
+		Convey("All calls end without an answer at the write timeout", t, func() {
 			for range 3 {
 				So(<-ended, ShouldBeTrue)
 			}
@@ -191,18 +186,18 @@
 	})
 }
 
-// A process is paused for an hour and wakes: its peers answered all the
-// while. It must not close its connections for a silence that was its own.
-func TestOwnPauseIsNotSilence(t *testing.T) {
+// A process that resumes after a pause must not close the connections whose
+// pongs arrived during the pause.
+func TestProcessPauseIsNotSilence(t *testing.T) {
 	Convey("Silence counts checks, not time", t, func() {
-		var s silence
-		for range busyChecks {
-			s.next(false, true) // a ping goes out with the last
+		var s probeState
+		for range pendingPingChecks {
+			s.tick(false, true) // the last one sends a ping
 		}
-		_, silent := s.next(false, true) // the first check after the pause
+		_, silent := s.tick(false, true) // the first check after the pause
 		So(silent, ShouldBeFalse)
-		_, silent = s.next(true, true) // the pong has been read by now
+		_, silent = s.tick(true, true) // the pong has been read by now
 		So(silent, ShouldBeFalse)
-		So(s, ShouldResemble, silence{answered: true})
+		So(s, ShouldResemble, probeState{ponged: true})
 	})
 }
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -11,45 +11,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// dialTimeout bounds one dial of a peer.
 const dialTimeout = time.Second
 
-// ErrRedialing is returned by Get while a peer that could not be dialled is being
-// dialled again.
+// ErrRedialing is returned by Get while another call redials a peer whose last
+// dial failed.
 var ErrRedialing = eris.New("peer is being dialled again after a failure")
 
 type (
 	// Peer is a node that calls are sent to.
 	Peer struct {
-		Name string // instance beside the node
+		Name string // instance that the node serves
 		Addr string // host:port of the node's msgpack listener
 	}
 
-	// PoolConfig is what a Pool is built from.
+	// PoolConfig configures a Pool.
 	PoolConfig struct {
-		From string // this node's instance name, sent with each request; empty where servers do not ask for it
+		From string // this node's instance name, sent with each request; may be empty if the servers do not use it
 		Log  log.Interface
-		// OnVersion is told the version that each answer of a peer carries;
-		// may be nil.
+		// OnVersion, if not nil, is called with the configuration version in
+		// each answer of a peer.
 		OnVersion func(p Peer, version uint64)
-		Trusting  bool // as in DialConfig
-		// Dial opens the network connection; nil for TCP.
+		Trusting  bool // see DialConfig
+		// Dial opens the network connection; nil means TCP.
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
 	}
 
-	// Pool holds one multiplexed connection per peer node address.
+	// Pool holds one multiplexed connection per peer address. It is safe for
+	// concurrent use.
 	Pool struct {
 		cfg PoolConfig
 
-		mu     sync.Mutex
-		conns  map[string]*Conn
-		dials  map[string]*dial // going on
-		failed map[string]bool  // the last dial failed
-		closed bool
+		mu         sync.Mutex
+		conns      map[string]*Conn
+		inProgress map[string]*dial // by address
+		failed     map[string]bool  // addresses whose last dial failed
+		closed     bool
 	}
 
-	// dial is one attempt to connect, shared by the calls that wait for it;
-	// done closes when conn or err is set.
+	// dial is a connection attempt shared by the calls that wait for it; done
+	// is closed once conn or err is set.
 	dial struct {
 		done chan struct{}
 		conn *Conn
@@ -59,12 +59,12 @@
 
 // NewPool returns a Pool without connections.
 func NewPool(cfg PoolConfig) *Pool {
-	return &Pool{cfg: cfg, conns: map[string]*Conn{}, dials: map[string]*dial{}, failed: map[string]bool{}}
+	return &Pool{cfg: cfg, conns: map[string]*Conn{}, inProgress: map[string]*dial{}, failed: map[string]bool{}}
 }
 
-// GetWithin is Get with a bound on the wait; one that is open costs no timer.
+// GetWithin is Get with a timeout. It creates no timer if a connection is open.
 func (p *Pool) GetWithin(ctx context.Context, peer Peer, wait time.Duration) (*Conn, error) {
-	if c := p.openTo(peer.Addr); c != nil && !c.Suspect() {
+	if c := p.openConn(peer.Addr); c != nil && !c.Suspect() {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -72,8 +72,8 @@
 	return p.Get(ctx, peer)
 }
 
-// openTo returns the open connection to an address; nil for none.
-func (p *Pool) openTo(addr string) *Conn {
+// openConn returns the open connection to addr, or nil.
+func (p *Pool) openConn(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.conns[addr]; c != nil && c.Err() == nil {
@@ -82,12 +82,12 @@
 	return nil
 }
 
-// Get returns the open connection to a peer, dialling one if there is none or
-// the last one closed; a silent peer is ErrSuspect. Calls that come together share one
-// dial: a hundred at once would only hold up a peer that is coming back. If
-// the dial before it failed, only the call that began this one waits for it;
-// a peer behind a cut would otherwise hold every call for dialTimeout, again
-// and again.
+// Get returns the open connection to a peer and dials one if there is none. It
+// returns ErrSuspect if the peer does not answer pings. Concurrent calls share
+// one dial, so that a recovering peer is not flooded with connections. If the
+// previous dial failed, only the call that started the current dial waits for
+// it and the others get ErrRedialing; otherwise an unreachable peer would delay
+// every call by dialTimeout.
 func (p *Pool) Get(ctx context.Context, peer Peer) (*Conn, error) {
 	addr := peer.Addr
 	p.mu.Lock()
@@ -98,15 +98,15 @@
 		}
 		return c, nil
 	}
-	d := p.dials[addr]
+	d := p.inProgress[addr]
 	if d != nil && p.failed[addr] {
 		p.mu.Unlock()
 		return nil, ErrRedialing
 	}
 	if d == nil {
 		d = &dial{done: make(chan struct{})}
-		p.dials[addr] = d
-		go p.connect(peer, d)
+		p.inProgress[addr] = d
+		go p.runDial(peer, d)
 	}
 	p.mu.Unlock()
 	select {
@@ -117,9 +117,9 @@
 	}
 }
 
-// connect carries out d. It is not bound to the call that began it: others
-// wait for the outcome too.
-func (p *Pool) connect(peer Peer, d *dial) {
+// runDial dials peer and completes d. It does not use the context of the call
+// that started it, because other calls wait for the same dial.
+func (p *Pool) runDial(peer Peer, d *dial) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	cfg := DialConfig{From: p.cfg.From, Trusting: p.cfg.Trusting, Dial: p.cfg.Dial}
@@ -128,7 +128,7 @@
 	}
 	d.conn, d.err = Dial(ctx, peer.Addr, cfg)
 	p.mu.Lock()
-	delete(p.dials, peer.Addr)
+	delete(p.inProgress, peer.Addr)
 	p.failed[peer.Addr] = d.err != nil
 	switch {
 	case d.err != nil:
@@ -141,8 +141,8 @@
 	close(d.done)
 }
 
-// KeepAlive checks every connection for silence until stop closes; the next
-// call to a peer whose connection was closed dials a fresh one.
+// KeepAlive calls Check on every connection once per CheckEvery until stop is
+// closed.
 func (p *Pool) KeepAlive(stop <-chan struct{}) {
 	t := time.NewTicker(CheckEvery)
 	defer t.Stop()
@@ -152,7 +152,7 @@
 			return
 		case <-t.C:
 		}
-		for addr, c := range p.open() {
+		for addr, c := range p.openConns() {
 			c.Check()
 			if errors.Is(c.Err(), ErrSilent) {
 				p.cfg.Log.WithField("peer", addr).Warn("peer_connection_silent")
@@ -161,8 +161,9 @@
 	}
 }
 
-// open returns the open connections by peer address, and forgets the others.
-func (p *Pool) open() map[string]*Conn {
+// openConns returns the open connections by peer address and removes the
+// closed ones from the pool.
+func (p *Pool) openConns() map[string]*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := make(map[string]*Conn, len(p.conns))
@@ -176,13 +177,14 @@
 	return conns
 }
 
-// CloseAll closes every connection; later dials close theirs too.
+// CloseAll closes every connection. Connections opened later by Get are closed
+// immediately.
 func (p *Pool) CloseAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for a, c := range p.conns {
+	for addr, c := range p.conns {
 		c.Close()
-		delete(p.conns, a)
+		delete(p.conns, addr)
 	}
 }
--- a/wire/server.go
+++ b/wire/server.go
@@ -13,15 +13,17 @@
 )
 
 type (
-	// Handler serves one call that arrived from a peer.
+	// Handler serves a request from a peer. ctx is cancelled when the caller
+	// cancels the request or its connection closes.
 	Handler func(ctx context.Context, r call.Request) call.Answer
 
-	// Server is the answering side of node-to-node connections.
+	// Server is the server side of node-to-node connections. Its exported
+	// fields must not change once Serve is called.
 	Server struct {
 		Handler Handler
-		Version func() uint64 // text version in force, sent with every answer
-		// OnVersion, if not nil, is told the sender and text version of
-		// each request.
+		Version func() uint64 // configuration version in effect, sent with every answer; may be nil
+		// OnVersion, if not nil, is called with the sender and configuration
+		// version of each request.
 		OnVersion func(from string, v uint64)
 
 		inFlight atomic.Int64
@@ -31,7 +33,7 @@
 	}
 )
 
-// Serve accepts connections on l until l is closed.
+// Serve accepts connections on l and returns nil once l is closed.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		nc, err := l.Accept()
@@ -46,7 +48,7 @@
 	}
 }
 
-// InFlight returns how many calls have not been answered yet.
+// InFlight returns the number of requests being served.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // CloseConns closes every open connection.
@@ -76,7 +78,7 @@
 	defer nc.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	in := &inbound{server: s, nc: nc, out: newFrameWriter(nc), calls: map[Stream]context.CancelFunc{}}
+	sc := &serverConn{server: s, nc: nc, out: newFrameWriter(nc), calls: map[Stream]context.CancelFunc{}}
 	dec := msgpack.NewDecoder(bufio.NewReader(nc))
 	for {
 		var f Frame
@@ -85,19 +87,19 @@
 		}
 		switch f.Kind {
 		case KindPing:
-			in.send(Frame{Kind: KindPong, Stream: f.Stream})
+			sc.send(Frame{Kind: KindPong, Stream: f.Stream})
 		case KindRequest:
 			if f.Request != nil {
-				in.begin(ctx, f)
+				sc.handleRequest(ctx, f)
 			}
 		case KindCancel:
-			in.end(f.Stream)
+			sc.cancelCall(f.Stream)
 		}
 	}
 }
 
-// inbound is one connection on the answering side.
-type inbound struct {
+// serverConn is the server side of a connection.
+type serverConn struct {
 	server *Server
 	nc     net.Conn
 	out    *frameWriter
@@ -106,40 +108,40 @@
 	calls map[Stream]context.CancelFunc // in flight
 }
 
-// begin serves one request on a goroutine of its own.
-func (in *inbound) begin(ctx context.Context, f Frame) {
-	s := in.server
+// handleRequest serves a request in a new goroutine.
+func (sc *serverConn) handleRequest(ctx context.Context, f Frame) {
+	s := sc.server
 	if s.OnVersion != nil && f.From != "" {
 		s.OnVersion(f.From, f.Config)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	in.mu.Lock()
-	in.calls[f.Stream] = cancel
-	in.mu.Unlock()
+	sc.mu.Lock()
+	sc.calls[f.Stream] = cancel
+	sc.mu.Unlock()
 	s.inFlight.Add(1)
 	go func() {
 		defer s.inFlight.Add(-1)
 		a := s.Handler(ctx, *f.Request)
-		in.end(f.Stream)
-		in.send(Frame{Kind: KindAnswer, Stream: f.Stream, Answer: &a})
+		sc.cancelCall(f.Stream)
+		sc.send(Frame{Kind: KindAnswer, Stream: f.Stream, Answer: &a})
 	}()
 }
 
-// end cancels the call with a stream, if it is in flight, and forgets it.
-func (in *inbound) end(s Stream) {
-	in.mu.Lock()
-	cancel, ok := in.calls[s]
-	delete(in.calls, s)
-	in.mu.Unlock()
+// cancelCall cancels the context of the call on stream s, if it is in flight.
+func (sc *serverConn) cancelCall(s Stream) {
+	sc.mu.Lock()
+	cancel, ok := sc.calls[s]
+	delete(sc.calls, s)
+	sc.mu.Unlock()
 	if ok {
 		cancel()
 	}
 }
 
-func (in *inbound) send(f Frame) {
-	f.Config = in.server.version()
-	if in.out.write(f) != nil {
-		in.nc.Close()
+func (sc *serverConn) send(f Frame) {
+	f.Config = sc.server.version()
+	if sc.out.write(f) != nil {
+		sc.nc.Close()
 	}
 }
 
--- a/wire/versions_test.go
+++ b/wire/versions_test.go
@@ -10,8 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// frames are one of each kind with every field set, as the files in
-// testdata/former have them from the version before.
+// frames are the decoded golden files in testdata/former, which the previous
+// version wrote with every field set.
 var frames = map[string]Frame{
 	"request": {Kind: KindRequest, Stream: 300, Config: 42, From: "archiv-1", Request: &call.Request{ID: "r1", Service: "archiv",
 		Operation: "read", Key: "k", Remaining: time.Second, To: "i-1", Sent: time.Unix(1788000000, 5000).UTC(), Budget: 3, Passed: []string{"i-2"}, Body: []byte("body"),
@@ -24,28 +24,28 @@
 	"ping": {Kind: KindPing, Stream: 7},
 }
 
-// Half of the nodes run the version before while they are upgraded. It reads
-// frames with exactly its own fields only: a field that it does not know may be
-// sent only when it is set, and what sets it must not be used while it runs.
-func TestFramesOfTheVersionBeforeAreOurs(t *testing.T) {
+// During a rolling upgrade, nodes of two versions exchange frames. The previous
+// version reads only frames with exactly its own fields, so a new field may be
+// sent only if it is set, and must not be set while that version is running.
+func TestFramesMatchPreviousVersion(t *testing.T) {
 	for name, f := range frames {
-		Convey("Its "+name+" is read whole, and ours is the same to it", t, func() {
-			former := messagetest.Former(t, name)
+		Convey("The previous version's "+name+" is decoded, and encoding it gives the same bytes", t, func() {
+			golden := messagetest.Former(t, name)
 			var got Frame
-			So(msgpack.Unmarshal(former, &got), ShouldBeNil)
+			So(msgpack.Unmarshal(golden, &got), ShouldBeNil)
 			if got.Request != nil {
 				got.Request.Sent = got.Request.Sent.UTC()
 			}
 			So(got, ShouldResemble, f)
-			ours, err := msgpack.Marshal(&f)
+			encoded, err := msgpack.Marshal(&f)
 			So(err, ShouldBeNil)
-			So(ours, ShouldResemble, former)
+			So(encoded, ShouldResemble, golden)
 		})
 	}
 }
 
-// FuzzFrame: whatever a peer sends, reading it ends in a frame that can be sent
-// again as it is, or in an error.
+// FuzzFrame checks that decoding arbitrary bytes gives an error or a frame that
+// can be encoded and decoded again.
 func FuzzFrame(f *testing.F) {
 	for name := range frames {
 		f.Add(messagetest.Former(f, name))
@@ -59,9 +59,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again Frame
-		if err := msgpack.Unmarshal(out, &again); err != nil {
-			t.Fatalf("%x is read, and not when it is sent again: %v", b, err)
+		var decoded Frame
+		if err := msgpack.Unmarshal(out, &decoded); err != nil {
+			t.Fatalf("frame decoded from %x cannot be decoded after encoding: %v", b, err)
 		}
 	})
 }
