--- a/targetconn/doc.go
+++ b/targetconn/doc.go
@@ -1,5 +1,5 @@
-// Package targetconn holds a node's HTTP connections to its local target. It
-// gives a request to the target once at most, tells apart what was never
-// sent, what the target refused and what may have run, and takes no bytes
-// for an answer that are not the request's own.
+// Package targetconn implements a node's pool of HTTP/1.1 connections to its
+// local target. A request is sent at most once, errors distinguish requests that
+// were not sent from requests that may have run, and responses to other requests
+// are never returned.
 package targetconn
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -18,57 +18,59 @@
 )
 
 const (
-	// dialWait bounds opening a connection on the same VM, a matter of
-	// microseconds. A target that is gone without a trace, or whose accept
-	// queue is full, drops the opening packet, which is sent again only after
-	// a second; nothing was sent, so another instance can have the request.
-	dialWait = 300 * time.Millisecond
-	// idleDefault is how long an idle connection is kept when the target
-	// does not say: under the shortest usual server timeout of 5 s.
-	idleDefault = 4 * time.Second
-	// idleMargin is taken off the idle timeout that a target states, so that
-	// a request does not meet the target's own close on the way.
+	// dialTimeout bounds dialling the target on the same VM, which takes
+	// microseconds. A target that is unreachable or whose accept queue is full
+	// drops the SYN, which is retransmitted only after 1 s; before that, the
+	// request can be sent to another instance.
+	dialTimeout = 300 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the target
+	// states no timeout. It is below 5 s, the shortest common server timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout that a target states, so
+	// that no request is sent while the target closes the connection.
 	idleMargin = 500 * time.Millisecond
-	// endingTime is how long a process that ends may still take connections
-	// after it has broken others; it breaks those too.
-	endingTime = 5 * time.Millisecond
-	// maxStray is how many answers to other requests are passed over on one
-	// connection before it is given up.
-	maxStray = 3
-	// bigBody is the size from which a request's body is written while the
-	// answer is awaited: a target may answer first, and a body that does not
-	// fit the socket's buffer would wait for it to read on.
-	bigBody = 16 << 10
-	// onePiece is the length up to which the memory for an answer's body is
-	// taken before it is there: what a target promises it may break off.
-	onePiece = 64 << 10
-	// maxAnswer bounds an answer's body held in memory.
-	maxAnswer = 64 << 20
+	// resetGrace is how long an exiting process may accept connections after it
+	// has broken others; it breaks those too.
+	resetGrace = 5 * time.Millisecond
+	// maxMismatched is how many answers to other requests are skipped on a
+	// connection before it is closed.
+	maxMismatched = 3
+	// asyncBodySize is the size in bytes from which a request body is written
+	// concurrently with reading the answer: a target may answer before it reads
+	// the body, and the write of a body larger than the socket buffer would
+	// block until it does.
+	asyncBodySize = 16 << 10
+	// maxPrealloc is the largest Content-Length in bytes for which the answer's
+	// body is allocated in advance, because the target may not send all of it.
+	maxPrealloc = 64 << 10
+	// maxBody limits an answer's body, in bytes.
+	maxBody = 64 << 20
 )
 
 var (
-	// ErrNotSent means that no byte of the request was written.
+	// ErrNotSent means that no byte of the request was written, so it did not
+	// run.
 	ErrNotSent = eris.New("target could not be reached")
-	// ErrNobody means, beside ErrNotSent, that nothing listens at the target's
-	// address.
+	// ErrNobody means that the connection was refused because nothing listens
+	// at the target's address; it is joined with ErrNotSent.
 	ErrNobody = eris.New("nothing listens at the target's address")
-	// ErrNoAnswer means that the request was written, in part or whole, and
-	// no whole answer to it came: it may have run.
+	// ErrNoAnswer means that the request was written at least in part and no
+	// complete answer arrived, so it may have run.
 	ErrNoAnswer = eris.New("no whole answer from the target")
 
-	errTooLong = eris.Errorf("answer over %d bytes", maxAnswer)
+	errBodyTooLarge = eris.Errorf("answer over %d bytes", maxBody)
 )
 
 type (
-	// Config is what a Pool is built from.
+	// Config configures a Pool.
 	Config struct {
 		Addr    string // host:port of the target
 		Headers call.Headers
-		// Dial opens a connection; nil for TCP.
+		// Dial opens a connection; nil means TCP with dialTimeout.
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
 	}
 
-	// Request is a request to hand to the target.
+	// Request is an HTTP request to the target.
 	Request struct {
 		ID     call.RequestID
 		Method string
@@ -78,7 +80,7 @@
 		Body   []byte
 	}
 
-	// Answer is the target's whole answer.
+	// Answer is the target's complete response.
 	Answer struct {
 		Code   int
 		Header http.Header
@@ -90,15 +92,15 @@
 	Pool struct {
 		cfg Config
 
-		mu   sync.Mutex
-		idle []*conn // the one used last is at the end
+		mu        sync.Mutex
+		idleConns []*conn // least recently used first
 	}
 
 	conn struct {
-		nc    net.Conn
-		r     *bufio.Reader
-		w     *bufio.Writer
-		until time.Time // when it must not be used any more
+		nc      net.Conn
+		r       *bufio.Reader
+		w       *bufio.Writer
+		expires time.Time // when it must no longer be used
 	}
 )
 
@@ -106,16 +108,16 @@
 func NewPool(cfg Config) *Pool {
 	if cfg.Dial == nil {
 		cfg.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			d := net.Dialer{Timeout: dialWait}
+			d := net.Dialer{Timeout: dialTimeout}
 			return d.DialContext(ctx, "tcp", addr)
 		}
 	}
 	return &Pool{cfg: cfg}
 }
 
-// Do gives r to the target and returns its answer. The error wraps
-// ErrNotSent or ErrNoAnswer. When ctx ends, the connection is closed, by
-// which most targets stop the work.
+// Do sends r to the target at most once and returns the answer. The error wraps
+// ErrNotSent or ErrNoAnswer. If ctx ends, Do closes the connection, which makes
+// most targets stop working on the request.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
 	c, err := p.get(ctx)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -125,7 +127,7 @@
 		return nil, eris.Wrap(ErrNotSent, err.Error())
 	}
 	stop := context.AfterFunc(ctx, func() { c.nc.SetDeadline(time.Unix(1, 0)) })
-	a, reuse, err := p.exchange(c, r)
+	a, reuse, err := p.roundTrip(c, r)
 	if !stop() || err != nil || !reuse {
 		c.nc.Close()
 	} else {
@@ -140,8 +142,9 @@
 	return a, nil
 }
 
-// Ended reports whether nothing listens at the target's address: its process
-// is gone. A connection that this opens is kept for the next request.
+// Ended reports whether the target's process has exited, which is the case if
+// nothing listens at its address. It dials the target and returns a working
+// connection to the pool.
 func (p *Pool) Ended(ctx context.Context) bool {
 	for {
 		nc, err := p.cfg.Dial(ctx, p.cfg.Addr)
@@ -149,9 +152,9 @@
 			return errors.Is(err, syscall.ECONNREFUSED)
 		}
 		c := newConn(nc)
-		time.Sleep(endingTime)
-		if c.quiet() {
-			c.until = time.Now().Add(idleDefault)
+		time.Sleep(resetGrace)
+		if c.idle() {
+			c.expires = time.Now().Add(defaultIdleTimeout)
 			p.put(c)
 			return false
 		}
@@ -163,15 +166,15 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range p.idle {
+	for _, c := range p.idleConns {
 		c.nc.Close()
 	}
-	p.idle = nil
+	p.idleConns = nil
 }
 
 func (p *Pool) get(ctx context.Context) (*conn, error) {
 	for c := p.pop(); c != nil; c = p.pop() {
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.expires) && c.idle() {
 			return c, nil
 		}
 		c.nc.Close()
@@ -190,31 +193,31 @@
 func (p *Pool) pop() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) == 0 {
+	if len(p.idleConns) == 0 {
 		return nil
 	}
-	c := p.idle[len(p.idle)-1]
-	p.idle = p.idle[:len(p.idle)-1]
+	c := p.idleConns[len(p.idleConns)-1]
+	p.idleConns = p.idleConns[:len(p.idleConns)-1]
 	return c
 }
 
-// put keeps a connection for the next request, and closes those that have
-// been idle too long.
+// put returns a connection to the pool and closes those whose idle timeout has
+// passed.
 func (p *Pool) put(c *conn) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for len(p.idle) > 0 && now.After(p.idle[0].until) {
-		p.idle[0].nc.Close()
-		p.idle = p.idle[1:]
+	for len(p.idleConns) > 0 && now.After(p.idleConns[0].expires) {
+		p.idleConns[0].nc.Close()
+		p.idleConns = p.idleConns[1:]
 	}
-	p.idle = append(p.idle, c)
+	p.idleConns = append(p.idleConns, c)
 }
 
-// quiet reports whether nothing has arrived on an idle connection: neither
-// its end, which would lose the next request, nor bytes that belong to no
-// request.
-func (c *conn) quiet() bool {
+// idle reports whether the connection is open and nothing has arrived on it. If
+// the target has closed it, the next request would be lost; bytes that arrived
+// belong to no request.
+func (c *conn) idle() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -226,20 +229,21 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// exchange writes r and reads its answer.
-func (p *Pool) exchange(c *conn, r *Request) (a *Answer, reuse bool, err error) {
+// roundTrip writes r and reads its answer; reuse is set if the connection can
+// carry another request.
+func (p *Pool) roundTrip(c *conn, r *Request) (a *Answer, reuse bool, err error) {
 	written := make(chan error, 1)
-	if len(r.Body) < bigBody {
+	if len(r.Body) < asyncBodySize {
 		if err := c.write(r); err != nil {
 			return nil, false, err
 		}
@@ -247,11 +251,11 @@
 	} else {
 		go func() { written <- c.write(r) }()
 	}
-	resp, err := p.read(c, r)
+	resp, err := p.readResponse(c, r)
 	if err != nil {
 		return nil, false, err
 	}
-	body, err := readAnswer(resp)
+	body, err := readBody(resp)
 	if err != nil {
 		return nil, false, err
 	}
@@ -260,38 +264,38 @@
 	case err := <-written:
 		reuse = err == nil && !resp.Close && c.r.Buffered() == 0
 	default:
-		// Answered before the body was read: the target may read on, and
-		// would take the next request's bytes for the rest of this body.
+		// The target answered before the body was written. It may still read
+		// and would take the next request for the rest of this body.
 	}
 	if reuse {
-		c.until = time.Now().Add(keepAlive(resp.Header))
+		c.expires = time.Now().Add(idleTimeout(resp.Header))
 	}
 	return a, reuse, nil
 }
 
-// readAnswer reads an answer's body, which is seldom long.
-func readAnswer(resp *http.Response) ([]byte, error) {
+// readBody reads a response body of at most maxBody bytes.
+func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	if resp.ContentLength > maxAnswer {
-		return nil, errTooLong
+	if resp.ContentLength > maxBody {
+		return nil, errBodyTooLarge
 	}
-	if resp.Body != http.NoBody && resp.ContentLength >= 0 && resp.ContentLength <= onePiece {
+	if resp.Body != http.NoBody && resp.ContentLength >= 0 && resp.ContentLength <= maxPrealloc {
 		body := make([]byte, resp.ContentLength)
 		_, err := io.ReadFull(resp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		err = errTooLong
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
+	if err == nil && len(body) > maxBody {
+		err = errBodyTooLarge
 	}
 	return body, err
 }
 
-// read returns the answer to r. A target may send a second, late answer to
-// an earlier request where this one's is due; the id in it tells.
-func (p *Pool) read(c *conn, r *Request) (*http.Response, error) {
+// readResponse returns the response to r. It skips responses with another
+// request ID, such as a duplicate response to an earlier request.
+func (p *Pool) readResponse(c *conn, r *Request) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
-	for stray := 0; ; {
+	for mismatched := 0; ; {
 		resp, err := http.ReadResponse(c.r, req)
 		if err != nil {
 			return nil, err
@@ -299,18 +303,19 @@
 		id := resp.Header.Get(p.cfg.Headers.RequestID)
 		switch {
 		case resp.StatusCode < http.StatusOK:
-			// Interim: the final answer follows.
+			// Informational; the final response follows.
 		case id != "" && id != string(r.ID):
-			if stray++; stray > maxStray {
+			if mismatched++; mismatched > maxMismatched {
 				return nil, eris.New("answers to other requests only")
 			}
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 				return nil, err
 			}
-			// Another stray answer may follow the right one.
+			// Do not reuse the connection: more mismatched responses may
+			// follow.
 			resp.Close = true
 		default:
-			if stray > 0 {
+			if mismatched > 0 {
 				resp.Close = true
 			}
 			return resp, nil
@@ -318,8 +323,8 @@
 	}
 }
 
-// write sends the request as it came; header names and values are the
-// caller's.
+// write sends the request with its header unchanged, adding only Host and
+// Content-Length.
 func (c *conn) write(r *Request) error {
 	c.w.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(c.w); err != nil {
@@ -333,8 +338,9 @@
 	return c.w.Flush()
 }
 
-// keepAlive is how long a connection may stay idle after an answer.
-func keepAlive(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle after a response with
+// header h.
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -344,5 +350,5 @@
 			return max(time.Duration(s)*time.Second-idleMargin, 0)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/targetconn/pool_test.go
+++ b/targetconn/pool_test.go
@@ -18,10 +18,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var names = call.Headers{RequestID: "Request-Id", Signature: "Signature"}
+var headers = call.Headers{RequestID: "Request-Id", Signature: "Signature"}
 
-// startTarget serves each connection with serve, which gets the connection's
-// number from 1.
+// startTarget listens and calls serve for each connection; n counts them from 1.
 func startTarget(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) (*Pool, *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,13 +41,13 @@
 			}()
 		}
 	}()
-	p := NewPool(Config{Addr: l.Addr().String(), Headers: names})
+	p := NewPool(Config{Addr: l.Addr().String(), Headers: headers})
 	t.Cleanup(p.Close)
 	return p, &conns
 }
 
-// read reads one request; false at the connection's end.
-func read(r *bufio.Reader) (*http.Request, []byte, bool) {
+// readRequest reads one request; it returns false if the connection has ended.
+func readRequest(r *bufio.Reader) (*http.Request, []byte, bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return nil, nil, false
@@ -57,18 +56,18 @@
 	return req, body, err == nil
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nSignature: s\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// echo answers every request with its id as the body.
+// echo answers every request with the request ID as the body.
 func echo(_ int, c net.Conn, r *bufio.Reader) {
 	for {
-		req, _, ok := read(r)
+		req, _, ok := readRequest(r)
 		if !ok {
 			return
 		}
-		io.WriteString(c, answer(req.Header.Get("Request-Id"), req.Header.Get("Request-Id")))
+		io.WriteString(c, response(req.Header.Get("Request-Id"), req.Header.Get("Request-Id")))
 	}
 }
 
@@ -82,8 +81,8 @@
 	return p.Do(ctx, request(id))
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	Convey("Requests one after the other share a connection", t, func() {
+func TestConnectionIsReused(t *testing.T) {
+	Convey("Sequential requests share a connection", t, func() {
 		p, conns := startTarget(t, echo)
 		for i := range 5 {
 			a, err := do(p, strconv.Itoa(i))
@@ -94,28 +93,28 @@
 	})
 }
 
-// A faulty target answers request a twice; the second answer arrives where
-// b's is due. Whoever asked for b must get b's answer or none.
-func TestAnAnswerToAnotherRequestIsPassedOver(t *testing.T) {
-	Convey("Whether the stray answer comes before, with or after the next request", t, func() {
+// A faulty target answers request a twice, and the second answer arrives when
+// that to request b is expected. Request b must get its own answer or none.
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+	Convey("The duplicate answer arrives before or after the next request", t, func() {
 		for _, early := range []bool{true, false} {
 			name := "early " + strconv.FormatBool(early)
 			p, conns := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
-				read(r)
-				io.WriteString(c, answer("a", "a"))
+				readRequest(r)
+				io.WriteString(c, response("a", "a"))
 				if n > 1 {
 					return
 				}
 				if early {
-					io.WriteString(c, answer("a", "stray"))
+					io.WriteString(c, response("a", "stray"))
 				}
-				if _, _, ok := read(r); !ok {
+				if _, _, ok := readRequest(r); !ok {
 					return
 				}
 				if !early {
-					io.WriteString(c, answer("a", "stray"))
+					io.WriteString(c, response("a", "stray"))
 				}
-				io.WriteString(c, answer("b", "b"))
+				io.WriteString(c, response("b", "b"))
 			})
 			Convey(name, func() {
 				_, err := do(p, "a")
@@ -123,8 +122,8 @@
 				time.Sleep(20 * time.Millisecond)
 				a, err := do(p, "b")
 				if early {
-					// The bytes were seen before b was sent: a new
-					// connection, whose target answers for a, and ends.
+					// The bytes arrived before b was sent, so b uses a new
+					// connection, whose only answer is for a.
 					So(errors.Is(err, ErrNoAnswer), ShouldBeTrue)
 					So(conns.Load(), ShouldEqual, 2)
 				} else {
@@ -136,25 +135,24 @@
 	})
 }
 
-// A target breaks off in the middle of a body, sends bytes that are no
-// answer, or resets the connection. None may pass for a whole answer, and
-// none for a request that was never sent: it may have run.
-func TestABrokenAnswerIsNone(t *testing.T) {
-	Convey("Each is ErrNoAnswer", t, func() {
-		whole := answer("a", "0123456789")
+// A truncated or malformed answer must be reported neither as complete nor as
+// ErrNotSent, because the request may have run.
+func TestMalformedAnswerIsErrNoAnswer(t *testing.T) {
+	Convey("Each case returns ErrNoAnswer", t, func() {
+		full := response("a", "0123456789")
 		for _, c := range []struct{ name, bytes string }{
-			{"cut body", whole[:len(whole)-3]},
-			{"cut header", "HTTP/1.1 200 OK\r\nRequest-"},
-			{"nonsense", "\x00\x01\x02 what is this\r\n\r\n"},
-			{"nothing", ""},
-			{"cut chunk", "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"},
-			{"odd length", "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: x\r\n\r\nab"},
-			{"wrong answer", answer("z", "z")},
+			{"truncated body", full[:len(full)-3]},
+			{"truncated header", "HTTP/1.1 200 OK\r\nRequest-"},
+			{"garbage", "\x00\x01\x02 what is this\r\n\r\n"},
+			{"empty", ""},
+			{"truncated chunk", "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"},
+			{"invalid length", "HTTP/1.1 200 OK\r\nRequest-Id: a\r\nContent-Length: x\r\n\r\nab"},
+			{"answer to another request", response("z", "z")},
 		} {
 			bytes := c.bytes
 			Convey(c.name, func() {
 				p, _ := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
-					read(r)
+					readRequest(r)
 					io.WriteString(c, bytes)
 				})
 				_, err := do(p, "a")
@@ -164,15 +162,15 @@
 	})
 }
 
-// An answer without a length ends with its connection. One that is reset on
-// the way is not whole.
-func TestAnAnswerThatEndsWithItsConnection(t *testing.T) {
-	Convey("It is whole when the connection is closed, not when it is reset", t, func() {
+// An answer without a length ends when the connection is closed; if the
+// connection is reset, the answer is incomplete.
+func TestAnswerDelimitedByConnectionClose(t *testing.T) {
+	Convey("It is complete if the connection is closed and incomplete if it is reset", t, func() {
 		for _, reset := range []bool{false, true} {
 			name := "reset " + strconv.FormatBool(reset)
 			Convey(name, func() {
 				p, _ := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
-					read(r)
+					readRequest(r)
 					io.WriteString(c, "HTTP/1.1 200 OK\r\nRequest-Id: a\r\n\r\nhalf")
 					if reset {
 						time.Sleep(20 * time.Millisecond)
@@ -191,17 +189,17 @@
 	})
 }
 
-// The target closes an idle connection just before a request goes out on
-// it. Written there, the request would be lost, and nobody could say whether
-// it ran; and net/http's transport would send a read again by itself.
-func TestAConnectionTheTargetClosedIsNotUsed(t *testing.T) {
-	Convey("The next request goes out on a new one, once", t, func() {
+// A request must not be sent on an idle connection that the target has closed:
+// whether it ran would be unknown. net/http's transport would retry idempotent
+// requests by itself.
+func TestConnectionClosedByTargetIsNotReused(t *testing.T) {
+	Convey("The next request is sent once, on a new connection", t, func() {
 		var got atomic.Int32
 		p, conns := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
-			req, _, ok := read(r)
+			req, _, ok := readRequest(r)
 			if ok {
 				got.Add(1)
-				io.WriteString(c, answer(req.Header.Get("Request-Id"), "x"))
+				io.WriteString(c, response(req.Header.Get("Request-Id"), "x"))
 			}
 		})
 		for _, id := range []string{"a", "b", "c"} {
@@ -214,17 +212,17 @@
 	})
 }
 
-// A target that resets a kept connection as the request arrives has perhaps
-// run it. The request is not sent again here, not even a read.
-func TestNothingIsSentTwice(t *testing.T) {
-	Convey("A request whose connection breaks is sent once", t, func() {
+// A request whose reused connection breaks may have run. The pool must not send
+// it again, even if it is a GET.
+func TestRequestIsNotResent(t *testing.T) {
+	Convey("A request whose connection breaks is sent only once", t, func() {
 		var got atomic.Int32
 		p, _ := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 			if n == 1 {
-				read(r)
-				io.WriteString(c, answer("a", "a"))
+				readRequest(r)
+				io.WriteString(c, response("a", "a"))
 			}
-			if _, _, ok := read(r); ok {
+			if _, _, ok := readRequest(r); ok {
 				got.Add(1)
 			}
 		})
@@ -235,28 +233,28 @@
 	})
 }
 
-func TestAnUnreachableTargetRanNothing(t *testing.T) {
-	Convey("A refused connection is ErrNotSent", t, func() {
+func TestUnreachableTargetIsErrNotSent(t *testing.T) {
+	Convey("A refused connection returns ErrNotSent", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		addr := l.Addr().String()
 		l.Close()
-		_, err = do(NewPool(Config{Addr: addr, Headers: names}), "a")
+		_, err = do(NewPool(Config{Addr: addr, Headers: headers}), "a")
 		So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 	})
 }
 
-// A target rejects a long body before it has read it, and reads on later.
-// The next request on that connection would be taken for the body's rest.
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
-	Convey("The answer counts, the connection is not used again", t, func() {
+// A target answers before it has read a long body and continues reading later.
+// It would take the next request on that connection for the rest of the body.
+func TestEarlyAnswerClosesConnection(t *testing.T) {
+	Convey("The answer is returned and the connection is not reused", t, func() {
 		p, conns := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 			if n > 1 {
 				echo(n, c, r)
 				return
 			}
 			http.ReadRequest(r)
-			io.WriteString(c, answer("big", "early"))
+			io.WriteString(c, response("big", "early"))
 			time.Sleep(200 * time.Millisecond)
 		})
 		r := request("big")
@@ -273,35 +271,35 @@
 	})
 }
 
-// A caller leaves while the target works. The target drops the work when
-// the connection closes, so it must be closed at once.
-func TestGivingUpClosesTheConnection(t *testing.T) {
-	Convey("The target sees the end of its connection", t, func() {
+// Cancelling a request must close its connection at once, because that is what
+// makes a target stop working on it.
+func TestCancelClosesConnection(t *testing.T) {
+	Convey("The target sees the connection close", t, func() {
 		closed := make(chan time.Time, 1)
 		p, _ := startTarget(t, func(_ int, _ net.Conn, r *bufio.Reader) {
-			read(r)
+			readRequest(r)
 			r.ReadByte()
 			closed <- time.Now()
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(50*time.Millisecond, cancel)
 		_, err := p.Do(ctx, request("a"))
-		left := time.Now()
+		returned := time.Now()
 		So(errors.Is(err, ErrNoAnswer), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "canceled")
-		So((<-closed).Sub(left), ShouldBeLessThan, time.Second)
+		So((<-closed).Sub(returned), ShouldBeLessThan, time.Second)
 	})
 }
 
-func TestRequestsGoOutAsTheyCame(t *testing.T) {
-	Convey("Method, path, query, headers and body are the caller's", t, func() {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	Convey("Method, path, query, headers and body are unchanged", t, func() {
 		got := make(chan *http.Request, 1)
 		bodies := make(chan string, 1)
 		p, _ := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
-			req, body, _ := read(r)
+			req, body, _ := readRequest(r)
 			got <- req
 			bodies <- string(body)
-			io.WriteString(c, answer("a", ""))
+			io.WriteString(c, response("a", ""))
 		})
 		r := request("a")
 		r.Method, r.Body = http.MethodPut, []byte("note")
@@ -318,15 +316,15 @@
 	})
 }
 
-func TestKeepAliveIsRead(t *testing.T) {
-	Convey("A stated timeout counts, less a margin", t, func() {
-		So(keepAlive(http.Header{"Keep-Alive": {"max=3, timeout=10"}}), ShouldEqual, 10*time.Second-idleMargin)
-		So(keepAlive(http.Header{"Keep-Alive": {"timeout=0"}}), ShouldEqual, 0)
-		So(keepAlive(http.Header{}), ShouldEqual, idleDefault)
+func TestKeepAliveTimeout(t *testing.T) {
+	Convey("The stated timeout is used, less idleMargin", t, func() {
+		So(idleTimeout(http.Header{"Keep-Alive": {"max=3, timeout=10"}}), ShouldEqual, 10*time.Second-idleMargin)
+		So(idleTimeout(http.Header{"Keep-Alive": {"timeout=0"}}), ShouldEqual, 0)
+		So(idleTimeout(http.Header{}), ShouldEqual, defaultIdleTimeout)
 	})
 }
 
-// BenchmarkDo measures one request and its answer on a kept connection.
+// BenchmarkDo measures one request on a reused connection.
 func BenchmarkDo(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -342,7 +340,7 @@
 			go echo(1, c, bufio.NewReader(c))
 		}
 	}()
-	p := NewPool(Config{Addr: l.Addr().String(), Headers: names})
+	p := NewPool(Config{Addr: l.Addr().String(), Headers: headers})
 	defer p.Close()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -352,10 +350,10 @@
 	}
 }
 
-// A target breaks a connection off and lives; another is gone, and so are all
-// of its connections. Only the second has ended.
-func TestAnEndedTargetIsToldFromABrokenConnection(t *testing.T) {
-	Convey("A target that answers a new connection has not ended, and keeps it", t, func() {
+// A target that closes one connection and keeps running must not be reported as
+// ended; one whose process has exited must be.
+func TestEndedDistinguishesExitFromConnectionReset(t *testing.T) {
+	Convey("A target that accepts a new connection has not ended, and the connection is reused", t, func() {
 		p, conns := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 			if n > 1 {
 				echo(n, c, r)
@@ -368,7 +366,7 @@
 		So(err, ShouldBeNil)
 		So(conns.Load(), ShouldEqual, 2)
 	})
-	Convey("One that takes a connection while it ends, and breaks it, has", t, func() {
+	Convey("A target that closes a connection it accepted while exiting has ended", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		go func() {
@@ -379,46 +377,46 @@
 			l.Close()
 			c.Close()
 		}()
-		So(NewPool(Config{Addr: l.Addr().String(), Headers: names}).Ended(context.Background()), ShouldBeTrue)
+		So(NewPool(Config{Addr: l.Addr().String(), Headers: headers}).Ended(context.Background()), ShouldBeTrue)
 	})
-	Convey("One at whose address nothing listens has", t, func() {
+	Convey("A target at whose address nothing listens has ended", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		p := NewPool(Config{Addr: l.Addr().String(), Headers: names})
+		p := NewPool(Config{Addr: l.Addr().String(), Headers: headers})
 		So(l.Close(), ShouldBeNil)
 		So(p.Ended(context.Background()), ShouldBeTrue)
 	})
 }
 
-// An answer to HEAD tells the length of a body that does not follow; one that
-// promises much may break off, and is none.
-func TestALengthIsNoBody(t *testing.T) {
-	Convey("A promised body is neither waited for nor made up", t, func() {
+// An answer to HEAD has a Content-Length without a body. An answer with fewer
+// bytes than its Content-Length is incomplete.
+func TestContentLengthWithoutBody(t *testing.T) {
+	Convey("A missing body is not waited for, and an incomplete one is an error", t, func() {
 		p, _ := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
-			req, _, ok := read(r)
+			req, _, ok := readRequest(r)
 			if !ok {
 				return
 			}
-			head := "HTTP/1.1 200 OK\r\nRequest-Id: " + req.Header.Get("Request-Id") + "\r\nSignature: s\r\nContent-Length: "
+			header := "HTTP/1.1 200 OK\r\nRequest-Id: " + req.Header.Get("Request-Id") + "\r\nSignature: s\r\nContent-Length: "
 			switch req.Method {
 			case http.MethodHead:
-				io.WriteString(c, head+"1500\r\n\r\n")
+				io.WriteString(c, header+"1500\r\n\r\n")
 			case http.MethodPut:
-				io.WriteString(c, head+strconv.Itoa(3*onePiece)+"\r\n\r\n"+strings.Repeat("a", 3*onePiece))
+				io.WriteString(c, header+strconv.Itoa(3*maxPrealloc)+"\r\n\r\n"+strings.Repeat("a", 3*maxPrealloc))
 			default:
-				io.WriteString(c, head+strconv.Itoa(3*onePiece)+"\r\n\r\n"+strings.Repeat("a", onePiece))
+				io.WriteString(c, header+strconv.Itoa(3*maxPrealloc)+"\r\n\r\n"+strings.Repeat("a", maxPrealloc))
 			}
 		})
-		ask := func(method string) (*Answer, error) {
+		send := func(method string) (*Answer, error) {
 			return p.Do(context.Background(), &Request{ID: "1", Method: method, Host: "h", URI: "/", Header: http.Header{"Request-Id": {"1"}}})
 		}
-		a, err := ask(http.MethodHead)
+		a, err := send(http.MethodHead)
 		So(err, ShouldBeNil)
 		So(a.Body, ShouldBeEmpty)
-		a, err = ask(http.MethodPut)
+		a, err = send(http.MethodPut)
 		So(err, ShouldBeNil)
-		So(len(a.Body), ShouldEqual, 3*onePiece)
-		_, err = ask(http.MethodGet)
+		So(len(a.Body), ShouldEqual, 3*maxPrealloc)
+		_, err = send(http.MethodGet)
 		So(errors.Is(err, ErrNoAnswer), ShouldBeTrue)
 	})
 }
