--- a/call/call.go
+++ b/call/call.go
@@ -4,87 +4,84 @@
 	"time"
 )
 
-// Class says how a call ranks when a target sheds load.
+// Class is the priority of a call when a target sheds load.
 type Class string
 
-// Status is the outcome of one call as its caller learns it.
+// Status is the outcome of a call as reported to its caller.
 type Status string
 
-// RequestID names one caller's request across all the hops it crosses.
+// RequestID identifies a caller's request on every hop.
 type RequestID string
 
 const (
-	// Critical calls (approvals, publications, find logs, trackable awards,
-	// badge transfers) are refused only after every sheddable call is.
+	// Critical calls are refused only after all sheddable calls.
 	Critical Class = "critical"
-	// Sheddable calls (browsing and ranking reads) are refused first.
+	// Sheddable calls are refused first.
 	Sheddable Class = "sheddable"
 )
 
 const (
-	// OK means the call ran and Body is its whole answer.
+	// OK means the call succeeded and Body is its complete answer.
 	OK Status = "ok"
-	// NotRun means no part of the call ran anywhere; it is safe to send again
-	// after RetryAfter.
+	// NotRun means no part of the call ran anywhere; it is safe to retry after
+	// RetryAfter.
 	NotRun Status = "not_run"
 	// Failed means the call ran and its target answered with an error.
 	Failed Status = "failed"
-	// Unknown means the call may have run, in part or whole; a caller must
-	// not send a non-idempotent call again.
+	// Unknown means the call may have run partly or completely; a caller must
+	// not retry a non-idempotent call.
 	Unknown Status = "unknown"
 )
 
-// Request is one call as it crosses a hop, caller to node or node to node.
-// Between nodes its fields go by their place, without their names, which saves
-// 84 of 238 bytes that a call adds to its body, and 37 of 121 that an answer
-// adds (BenchmarkFrameSize); new fields come last.
+// Request is a call sent from a caller to a node or from node to node. Between
+// nodes it is encoded as a msgpack array of its fields in this order, which is
+// smaller than a map; new fields go last.
 type Request struct {
 	_msgpack  struct{}      `msgpack:",as_array"`
 	ID        RequestID     `msgpack:"id"`
 	Service   string        `msgpack:"service"`
 	Operation string        `msgpack:"operation"`
 	Key       Key           `msgpack:"key,omitempty"`
-	Remaining time.Duration `msgpack:"remaining"`        // time left to the deadline when sent
-	To        string        `msgpack:"to,omitempty"`     // instance it is meant for; empty for any
-	Sent      time.Time     `msgpack:"sent"`             // when it was sent, by the sender's clock
-	Budget    int           `msgpack:"budget"`           // retries the whole request may still spend
+	Remaining time.Duration `msgpack:"remaining"`        // time until the deadline when sent
+	To        string        `msgpack:"to,omitempty"`     // destination instance; empty for any
+	Sent      time.Time     `msgpack:"sent"`             // send time by the sender's clock
+	Budget    int           `msgpack:"budget"`           // retries that this call may spend, including all calls below it
 	Passed    []string      `msgpack:"passed,omitempty"` // instances that declined this key
 	Body      []byte        `msgpack:"body,omitempty"`
-	// HTTP is set for a request that goes by a route of host and path; it
-	// has no Operation.
+	// HTTP is set for a request that is routed by host and path.
 	HTTP *HTTPRequest `msgpack:"http,omitempty"`
-	// Yields says that the sender would rather end the call as unknown and
-	// make it elsewhere than wait for a peer that has gone silent.
+	// Yields ends the call as Unknown once the peer is suspected, so that the
+	// sender can retry it at another instance.
 	Yields bool `msgpack:"-"`
 }
 
-// Answer is what comes back for a Request; its fields go by their place too.
+// Answer is the response to a Request, encoded as an array too.
 type Answer struct {
 	_msgpack    struct{}      `msgpack:",as_array"`
 	ID          RequestID     `msgpack:"id"`
 	Status      Status        `msgpack:"status"`
 	Reason      string        `msgpack:"reason,omitempty"`
 	RetryAfter  time.Duration `msgpack:"retry_after,omitempty"`
-	RetriesUsed int           `msgpack:"retries_used"` // retries spent below this hop
-	Leaving     bool          `msgpack:"leaving,omitempty"`
-	Declined    bool          `msgpack:"declined,omitempty"` // this instance has not run the key and never will
+	RetriesUsed int           `msgpack:"retries_used"`       // retries spent downstream
+	Leaving     bool          `msgpack:"leaving,omitempty"`  // the instance is draining
+	Declined    bool          `msgpack:"declined,omitempty"` // the instance has not run the key and never will
 	Body        []byte        `msgpack:"body,omitempty"`
-	HTTP        *HTTPAnswer   `msgpack:"http,omitempty"`    // what the target answered to a request with HTTP
-	Reached     bool          `msgpack:"reached,omitempty"` // the request was handed to a target
+	HTTP        *HTTPAnswer   `msgpack:"http,omitempty"`    // the target's response to an HTTP request
+	Reached     bool          `msgpack:"reached,omitempty"` // the request was passed to a target
 	Load        *Load         `msgpack:"load,omitempty"`
-	Ended       *End          `msgpack:"ended,omitempty"` // the instance ended while the request was in progress
-	Held        bool          `msgpack:"held,omitempty"`  // not run, and not to be sent to another instance either
-	News        []byte        `msgpack:"news,omitempty"`  // what a node tells besides in its answer to another's question
+	Ended       *End          `msgpack:"ended,omitempty"` // set if the instance ended while the request was in progress
+	Held        bool          `msgpack:"held,omitempty"`  // not run, and must not be sent to another instance
+	News        []byte        `msgpack:"news,omitempty"`  // quarantine reports piggybacked on an answer between nodes
 }
 
-// End is the end of an instance that ran a request.
+// End describes the end of an instance while a request was in progress there.
 type End struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	ID       uint64   // drawn by the node beside the instance; the same for all requests in progress there
-	Alone    bool     // the request was the only one there that instances had ended under before
+	ID       uint64   // generated by the instance's node; the same for all requests in progress there
+	Alone    bool     // no other request under which an instance had ended before was in progress there
 }
 
-// Refuse returns a NotRun answer for r that tells the caller when to come back.
+// Refuse returns a NotRun answer for r with a Retry-After of after.
 func Refuse(r Request, reason string, after time.Duration) Answer {
 	return Answer{ID: r.ID, Status: NotRun, Reason: reason, RetryAfter: after}
 }
--- a/call/decode.go
+++ b/call/decode.go
@@ -6,7 +6,8 @@
 )
 
 type (
-	// namedRequest and namedAnswer are messages whose fields have names.
+	// namedRequest and namedAnswer decode messages encoded as maps; they lack
+	// the DecodeMsgpack methods.
 	namedRequest Request
 	namedAnswer  Answer
 )
--- a/call/doc.go
+++ b/call/doc.go
@@ -1,3 +1,4 @@
-// Package call holds the small types that every role shares about one call:
-// its class, its outcome, and the request and answer as they cross a hop.
+// Package call defines the types shared by all components for a call: its class,
+// its status, and the request and answer exchanged between callers, nodes and
+// targets.
 package call
--- a/call/header.go
+++ b/call/header.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// HTTP header names that carry a Request's metadata between a target and its
-// node. Targets copy them from the call they serve to the calls they make.
+// HTTP headers that carry a Request's metadata between a target and its node.
+// Targets copy them from the call they serve to the calls they make.
 const (
 	HeaderRequestID = "Oatpin-Request-Id"
 	HeaderKey       = "Idempotency-Key"
@@ -16,15 +16,15 @@
 	HeaderStatus    = "Oatpin-Status"
 	HeaderRetries   = "Oatpin-Retries-Used"
 	HeaderReason    = "Oatpin-Reason"
-	// HeaderLeaving marks the refusal of a target that takes no new calls
-	// for good.
+	// HeaderLeaving marks a refusal by a target that is draining and accepts no
+	// more calls.
 	HeaderLeaving = "Oatpin-Leaving"
-	// HeaderHop carries the budget hop of a call from a node to its target
-	// and back on the target's outbound calls.
+	// HeaderHop identifies the retry budget of a call. A node sends it to its
+	// target, which sends it back on its outbound calls.
 	HeaderHop = "Oatpin-Hop"
 )
 
-// WriteHeaders sets r's metadata on h.
+// WriteHeaders sets the headers for r's metadata in h.
 func WriteHeaders(h http.Header, r Request) {
 	h.Set(HeaderRequestID, string(r.ID))
 	if r.Key != "" {
@@ -34,8 +34,8 @@
 	h.Set(HeaderBudget, strconv.Itoa(r.Budget))
 }
 
-// ReadHeaders fills r's metadata from h; a missing or malformed timeout or
-// budget leaves the field as it was.
+// ReadHeaders sets r's metadata from h. A field whose header is missing or
+// malformed is left unchanged.
 func ReadHeaders(h http.Header, r *Request) {
 	if v := h.Get(HeaderRequestID); v != "" {
 		r.ID = RequestID(v)
@@ -51,7 +51,7 @@
 	}
 }
 
-// HTTPCode maps a status to the HTTP code a caller sees.
+// HTTPCode returns the HTTP status code sent to the caller.
 func (s Status) HTTPCode() int {
 	switch s {
 	case OK:
--- a/call/http.go
+++ b/call/http.go
@@ -5,70 +5,70 @@
 )
 
 type (
-	// Headers names the headers by which callers and targets exchange a
-	// request's metadata, for targets that do not speak oatpin's own.
+	// Headers configures the names of the headers that carry a request's
+	// metadata between callers, nodes and targets, for targets that do not use
+	// the Header constants.
 	Headers struct {
 		RequestID        string
-		Deadline         string // milliseconds the caller will still wait
-		Signature        string // on each answer that a target made
-		ExpectedInstance string // any other instance refuses the request unrun
-		NotExecuted      string // on an answer to a request that the target did not run
-		CallerService    string // service of the VM at which the request began
-		Instance         string // on the answer of a health check: which instance gave it
+		Deadline         string // milliseconds until the caller's timeout
+		Signature        string // set by the target on each of its answers
+		ExpectedInstance string // any other instance refuses the request without running it
+		NotExecuted      string // set by the target on an answer to a request that it did not run
+		CallerService    string // service of the VM at which the request entered the mesh
+		Instance         string // instance ID, on the answer to a health check
 		Key              string // API key of a client account, after KeyScheme and a space
-		KeyScheme        string
-		Account          string // to the target, in place of Key: who holds it
+		KeyScheme        string // authentication scheme that precedes the API key
+		Account          string // name of the client account, sent to the target instead of Key
 	}
 
-	// Field is one header line.
+	// Field is a header field.
 	Field struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Name     string
 		Value    string
 	}
 
-	// Level orders requests under overload: of two, the one with the smaller
-	// level is served first and refused last. A request's calls have its
-	// level.
+	// Level is a request's priority under overload: lower levels are served
+	// first and refused last. Child requests inherit it.
 	Level uint16
 
-	// HTTPRequest is a caller's request as it came, for a target that is to
-	// get it unchanged.
+	// HTTPRequest is a caller's HTTP request, which is forwarded to the target
+	// unchanged.
 	HTTPRequest struct {
 		_msgpack   struct{} `msgpack:",as_array"`
 		Method     string
 		Host       string
 		URI        string // path and query as sent
 		Header     []Field
-		Caller     string // service of the VM at which the request began
+		Caller     string // service of the VM at which the request entered the mesh
 		Level      Level
-		Begun      bool // made by a request that already runs
-		Repeat     bool // sent to a second instance, or called by such a request
+		Begun      bool // child of a request that is already running
+		Repeat     bool // retried at another instance, or child of such a request
 		Idempotent bool
-		// Patience is how long a new request may wait for its turn at a
-		// target's node before it is refused.
+		// Patience limits the time that a new request waits in the queue of the
+		// target's node before it is refused; 0 means no limit but the deadline.
 		Patience time.Duration
 	}
 
-	// HTTPAnswer is what a target answered.
+	// HTTPAnswer is a target's HTTP response without the body.
 	HTTPAnswer struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Code     int
 		Header   []Field
 	}
 
-	// Load is how busy a target is, as its node sees it.
+	// Load is a node's report of the load of its target.
 	Load struct {
 		_msgpack struct{} `msgpack:",as_array"`
-		Busy     int      // requests the target works on
-		Queued   int      // requests that wait for it at its node
-		Limit    int      // requests it may work on at once
-		Admit    Level    // up to which the target, and those it calls, can serve what comes
-		Failing  float64  // part of its latest requests that the target failed, 0 to 1
-		// Scarce is the slot time that the request took, with all its calls,
-		// at targets that are short of room.
+		Busy     int      // requests in progress at the target
+		Queued   int      // requests queued at the node
+		Limit    int      // concurrency limit of the target
+		Admit    Level    // admission threshold: highest level that the target and its dependencies can serve
+		Failing  float64  // fraction of the target's recent requests that failed, 0 to 1
+		// Scarce is the slot time that the request and its child requests used
+		// at overloaded targets.
 		Scarce time.Duration
-		Slow   float64 // how many times longer the target takes than lately; 1 for as usual
-		Binds  string  // service that Admit is the threshold of; empty if all is served
+		Slow   float64 // current service time relative to the recent average; 1 means unchanged
+		Binds  string  // service whose threshold Admit is; empty if all levels are admitted
 	}
 )
--- a/call/key.go
+++ b/call/key.go
@@ -8,28 +8,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrBadKey is returned for an idempotency key that is not HOME.UUIDv7.
+// ErrBadKey is returned for an idempotency key that does not have the form
+// HOME.UUIDv7.
 var ErrBadKey = eris.New("idempotency key is not HOME.UUIDv7, as in halle-nord.019ae0c5-8e55-7cc3-98c4-dc0c0c07398f")
 
-// Key is an idempotency key: two calls with the same key are one action. It
-// is written HOME.UUIDv7: HOME is the data centre the caller first sent the
-// action to, and the UUID's own time says when the key was made, before any
-// try of the action. Each sub-action adds /service.operation.
+// Key is an idempotency key of the form HOME.UUIDv7. Calls with the same key are
+// the same operation and run at most once. HOME is the data centre to which the
+// caller first sent the call, and the UUID's timestamp is the time at which the
+// key was created, before the first attempt. Each child call appends
+// /service.operation.
 type Key string
 
-// NewKey returns a key made now for the home data centre.
+// NewKey returns a new key for the home data centre with the current time.
 func NewKey(home string) Key {
 	return Key(home + "." + uuid.Must(uuid.NewV7()).String())
 }
 
-// Home returns the data centre the key names, or "" for a malformed key.
+// Home returns the key's home data centre, or "" if the key is malformed.
 func (k Key) Home() string {
 	home, _, _ := k.split()
 	return home
 }
 
-// Made returns when the key was made, to the millisecond, by its maker's
-// clock. It returns ErrBadKey for a malformed key.
+// Made returns when the key was created, in milliseconds of its creator's clock.
+// It returns ErrBadKey for a malformed key.
 func (k Key) Made() (time.Time, error) {
 	_, id, ok := k.split()
 	if !ok {
