--- a/message/decode.go
+++ b/message/decode.go
@@ -5,11 +5,10 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// Decode reads a message whose fields go by their place into fields, pointers
-// in that order. Those that the sender does not know stay as they are, and
-// those that only the sender knows are passed over: nodes are replaced one
-// after the other, and one that could not read another version's messages
-// would be cut off from half of the fleet until the last is replaced.
+// Decode decodes a message encoded as an array into fields, which are pointers in
+// array order. Fields missing from the message are left unchanged and additional
+// elements are skipped, so that nodes of different versions can communicate
+// during a rolling upgrade.
 func Decode(d *msgpack.Decoder, fields ...any) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
@@ -28,7 +27,7 @@
 	return nil
 }
 
-// Named reports whether the next message has names for its fields.
+// Named reports whether the next message is encoded as a map, with field names.
 func Named(d *msgpack.Decoder) bool {
 	c, err := d.PeekCode()
 	return err == nil && (msgpcode.IsFixedMap(c) || c == msgpcode.Map16 || c == msgpcode.Map32)
--- a/message/doc.go
+++ b/message/doc.go
@@ -1,3 +1,3 @@
-// Package message reads what nodes send each other across versions of the
-// program: a newer one may know more fields of a message, an older one fewer.
+// Package message decodes messages between nodes of different versions, whose
+// messages may have more or fewer fields.
 package message
--- a/message/list.go
+++ b/message/list.go
@@ -2,9 +2,9 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// List is a slice of which a message holds as many elements as it says. The
-// codec takes the memory for all of them when it reads how many there are: nine
-// bytes that are no message, or half of one, would end a node.
+// List is a slice that grows as its elements are decoded. The msgpack codec
+// allocates a slice from the length in the message, so a corrupt message of a
+// few bytes could exhaust a node's memory.
 type List[T any] []T
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/message/messagetest/former.go
+++ b/message/messagetest/golden.go
@@ -1,5 +1,5 @@
-// Package messagetest has messages of the version before, for the tests of the
-// packages that read them.
+// Package messagetest loads messages encoded by the previous version, for tests
+// of the packages that decode them.
 package messagetest
 
 import (
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Former returns the bytes of a message that the version before wrote, from
-// testdata/former of the package under test.
+// Former returns the message that the previous version encoded to
+// testdata/former/NAME.hex of the package under test. It fails t if the file
+// cannot be read.
 func Former(t testing.TB, name string) []byte {
 	text, err := os.ReadFile(filepath.Join("testdata", "former", name+".hex"))
 	if err != nil {
