--- a/callgraph/check.go
+++ b/callgraph/check.go
@@ -4,30 +4,30 @@
 	"slices"
 )
 
-// check finds what is wrong across sections: unknown dependencies, calls
-// outside depends_on, cycles, services with no instance or operation,
-// instances of two services.
+// check reports errors that span sections: services without instances or
+// operations, instances listed in two services, unknown dependencies, calls
+// to services missing from depends_on, and dependency cycles.
 func (p *parser) check(g *Graph) {
-	listed := map[string]string{} // instance -> service
+	serviceOf := map[string]string{} // instance -> service
 	for _, name := range g.Names() {
 		s := g.Services[name]
-		line := p.ix.sections[sectionService+"."+name]
+		line := p.lines.sections[sectionService+"."+name]
 		if len(s.Instances) == 0 {
-			p.add(line, "service %s has no instance", name)
+			p.addProblem(line, "service %s has no instance", name)
 		}
 		if len(s.Operations) == 0 {
-			p.add(line, "service %s has no operation", name)
+			p.addProblem(line, "service %s has no operation", name)
 		}
 		for _, in := range s.Instances {
-			if other, ok := listed[in.Name]; ok {
-				line := p.ix.sections[sectionService+"."+name+"."+sectionInstance+"."+in.Name]
-				p.add(line, "instance %s is listed in service %s too", in.Name, other)
+			if other, ok := serviceOf[in.Name]; ok {
+				line := p.lines.sections[sectionService+"."+name+"."+sectionInstance+"."+in.Name]
+				p.addProblem(line, "instance %s is listed in service %s too", in.Name, other)
 			}
-			listed[in.Name] = name
+			serviceOf[in.Name] = name
 		}
 		for _, d := range s.DependsOn {
 			if g.Services[d] == nil {
-				p.add(p.ix.key(sectionService+"."+name, "depends_on"), "service %s depends on %s, which is not listed", name, d)
+				p.addProblem(p.lines.lineOf(sectionService+"."+name, "depends_on"), "service %s depends on %s, which is not listed", name, d)
 			}
 		}
 		for opName, op := range s.Operations {
@@ -35,39 +35,39 @@
 			for _, c := range op.Calls {
 				switch {
 				case !slices.Contains(s.DependsOn, c.Service):
-					p.add(p.ix.key(section, "calls"), "operation %s.%s calls %s, but %s does not depend on %s", name, opName, c, name, c.Service)
+					p.addProblem(p.lines.lineOf(section, "calls"), "operation %s.%s calls %s, but %s does not depend on %s", name, opName, c, name, c.Service)
 				case g.Operation(c) == nil:
-					p.add(p.ix.key(section, "calls"), "operation %s.%s calls %s, which is not listed", name, opName, c)
+					p.addProblem(p.lines.lineOf(section, "calls"), "operation %s.%s calls %s, which is not listed", name, opName, c)
 				}
 			}
 		}
 	}
 	if cycle := findCycle(g); cycle != nil {
-		p.add(0, "services depend on each other in a cycle: %v", cycle)
+		p.addProblem(0, "services depend on each other in a cycle: %v", cycle)
 	}
 }
 
-// findCycle returns one cycle of depends_on, or nil.
+// findCycle returns one cycle of depends_on by depth-first search, or nil.
 func findCycle(g *Graph) []string {
 	const (
-		unseen = iota
-		open
+		unvisited = iota
+		visiting
 		done
 	)
 	state := map[string]int{}
 	var path []string
 	var visit func(string) []string
 	visit = func(n string) []string {
-		state[n] = open
+		state[n] = visiting
 		path = append(path, n)
 		for _, d := range g.Services[n].DependsOn {
 			if g.Services[d] == nil {
 				continue
 			}
 			switch state[d] {
-			case open:
+			case visiting:
 				return append(slices.Clone(path[slices.Index(path, d):]), d)
-			case unseen:
+			case unvisited:
 				if c := visit(d); c != nil {
 					return c
 				}
@@ -78,7 +78,7 @@
 		return nil
 	}
 	for _, n := range g.Names() {
-		if state[n] == unseen {
+		if state[n] == unvisited {
 			if c := visit(n); c != nil {
 				return c
 			}
--- a/callgraph/doc.go
+++ b/callgraph/doc.go
@@ -1,4 +1,4 @@
-// Package callgraph reads and checks the configuration text: the services,
-// their instances and data centres, what each depends on, and per operation
-// its class, whether it is idempotent, its deadline and its retry limit.
+// Package callgraph parses and validates the mesh configuration: services,
+// their instances, data centres and dependencies, and the class, idempotence,
+// deadline and retry limit of each operation.
 package callgraph
--- a/callgraph/errors.go
+++ b/callgraph/errors.go
@@ -8,27 +8,27 @@
 )
 
 var (
-	// ErrInvalid is wrapped by every error about a text that cannot be accepted.
+	// ErrInvalid is wrapped by every error about a configuration that fails validation.
 	ErrInvalid = eris.New("invalid configuration text")
-	// ErrStale is returned for a text whose version is not newer than the one in force.
+	// ErrStale is returned for a configuration whose version is not newer than the current one.
 	ErrStale = eris.New("configuration version not newer than the one in force")
 )
 
 type (
-	// Problem is one thing wrong with a text, at a line (1-based, 0 if the
-	// text as a whole is wrong).
+	// Problem is one validation error. Line is 1-based; 0 means that the
+	// error has no line of its own.
 	Problem struct {
 		Line   int
 		Reason string
 	}
 
-	// TextError lists every problem found in one text; it matches ErrInvalid.
+	// TextError lists all problems found in one configuration; it matches ErrInvalid.
 	TextError struct {
 		Problems []Problem
 	}
 )
 
-// Error returns every problem, one a line, as line N: reason.
+// Error returns all problems, one per line, as "line N: reason".
 func (e *TextError) Error() string {
 	var b strings.Builder
 	b.WriteString(ErrInvalid.Error())
@@ -42,5 +42,5 @@
 	return b.String()
 }
 
-// Unwrap lets errors.Is find ErrInvalid.
+// Unwrap returns ErrInvalid for errors.Is.
 func (*TextError) Unwrap() error { return ErrInvalid }
--- a/callgraph/graph.go
+++ b/callgraph/graph.go
@@ -8,25 +8,25 @@
 )
 
 type (
-	// Version orders configuration texts; a node applies only a newer one.
+	// Version orders configurations; a node applies only newer versions.
 	Version uint64
 
 	// DC names a data centre, such as halle-nord.
 	DC string
 
-	// Graph is one accepted configuration text.
+	// Graph is one validated configuration.
 	Graph struct {
 		Version  Version
-		Retries  int // retries one whole request may cause over all hops
+		Retries  int // retry budget of one request across all hops
 		Services map[string]*Service
-		Text     []byte    // the text as submitted
-		Accepted time.Time // when the platform accepted it; zero if that is not known
+		Text     []byte    // source text as submitted
+		Accepted time.Time // when the platform accepted it; zero if unknown
 
-		byName map[string]place // instances of a parsed text
+		byName map[string]instancePos // instances by name; set by Parse
 	}
 
-	// place says where an instance stands in a Graph.
-	place struct {
+	// instancePos locates an instance within its service.
+	instancePos struct {
 		service *Service
 		index   int
 	}
@@ -34,14 +34,14 @@
 	// Service is one service of the call graph.
 	Service struct {
 		Name        string
-		Slots       int // requests one instance serves at once
-		Connections int // connections one instance holds open
+		Slots       int // concurrent requests per instance
+		Connections int // open connections per instance
 		DependsOn   []string
 		Instances   []Instance
 		Operations  map[string]*Operation
 	}
 
-	// Instance is one VM of a service with its node's addresses.
+	// Instance is one VM of a service and the addresses of its node.
 	Instance struct {
 		Name string
 		DC   DC
@@ -49,28 +49,28 @@
 		Peer string // host:port of the node's msgpack listener
 	}
 
-	// Operation is one thing a service does.
+	// Operation is one operation of a service and its request policy.
 	Operation struct {
 		Name       string
 		Class      call.Class
 		Idempotent bool
 		Deadline   time.Duration
-		Retries    int           // retries at one hop, within the request's budget
-		Cost       time.Duration // service time of the stand-in target
-		Calls      []Ref         // calls made, in order, while serving it
+		Retries    int           // retries per hop, within the retry budget of the request
+		Cost       time.Duration // service time in the simulated target
+		Calls      []Ref         // downstream calls, in order
 	}
 
-	// Ref names an operation of a service, written service.operation.
+	// Ref identifies an operation, written service.operation.
 	Ref struct {
 		Service   string
 		Operation string
 	}
 )
 
-// String returns r as service.operation.
+// String formats r as service.operation.
 func (r Ref) String() string { return r.Service + "." + r.Operation }
 
-// Operation returns the named operation, or nil.
+// Operation returns the operation r refers to, or nil if there is none.
 func (g *Graph) Operation(r Ref) *Operation {
 	s := g.Services[r.Service]
 	if s == nil {
@@ -79,7 +79,8 @@
 	return s.Operations[r.Operation]
 }
 
-// Instance finds the instance with the given name and its service.
+// Instance returns the named instance and its service, or false if
+// there is none.
 func (g *Graph) Instance(name string) (*Service, Instance, bool) {
 	p, ok := g.byName[name]
 	if !ok {
@@ -88,17 +89,17 @@
 	return p.service, p.service.Instances[p.index], true
 }
 
-// index notes where each instance stands; every entry call asks for one.
+// index fills byName, because every entry call looks up an instance.
 func (g *Graph) index() {
-	g.byName = map[string]place{}
+	g.byName = map[string]instancePos{}
 	for _, s := range g.Services {
 		for i, in := range s.Instances {
-			g.byName[in.Name] = place{service: s, index: i}
+			g.byName[in.Name] = instancePos{service: s, index: i}
 		}
 	}
 }
 
-// Names returns the service names in order.
+// Names returns the service names in sorted order.
 func (g *Graph) Names() []string {
 	names := make([]string, 0, len(g.Services))
 	for n := range g.Services {
@@ -108,7 +109,7 @@
 	return names
 }
 
-// Depth returns the longest chain of calls that starts at r, counting r.
+// Depth returns the length of the longest call chain that starts at r, including r.
 func (g *Graph) Depth(r Ref) int {
 	op := g.Operation(r)
 	if op == nil {
--- a/callgraph/lines.go
+++ b/callgraph/lines.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// lines maps sections and keys of a text to the line they stand on, so that
-// problems found after ini has parsed the text can name their line.
-type lines struct {
+// lineIndex maps sections and keys to line numbers, which the ini package does
+// not keep, so that validation errors can name their line.
+type lineIndex struct {
 	sections map[string]int
 	keys     map[string]int // section + "\x00" + key
 }
 
-func indexLines(text []byte) lines {
-	ix := lines{sections: map[string]int{}, keys: map[string]int{}}
+func indexLines(text []byte) lineIndex {
+	ix := lineIndex{sections: map[string]int{}, keys: map[string]int{}}
 	section := ""
 	sc := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; sc.Scan(); n++ {
@@ -31,7 +31,8 @@
 	return ix
 }
 
-func (ix lines) key(section, key string) int {
+// lineOf returns the line of key, or of its section if the key is absent.
+func (ix lineIndex) lineOf(section, key string) int {
 	if n, ok := ix.keys[section+"\x00"+key]; ok {
 		return n
 	}
--- a/callgraph/parse.go
+++ b/callgraph/parse.go
@@ -17,26 +17,26 @@
 	defaultRetries   = 3
 )
 
-// parser collects every problem of one text rather than stopping at the first.
+// parser collects all problems of one configuration instead of stopping at the first.
 type parser struct {
-	ix       lines
+	lines    lineIndex
 	problems []Problem
 }
 
-// Parse reads a configuration text and checks it whole. It returns a
-// *TextError (matching ErrInvalid) that lists every problem with its line.
+// Parse parses and validates a configuration. A failure is a *TextError
+// (matching ErrInvalid) that lists every problem with its line.
 func Parse(text []byte) (*Graph, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{Insensitive: false}, text)
 	if err != nil {
 		return nil, &TextError{Problems: []Problem{{Reason: err.Error()}}}
 	}
-	p := &parser{ix: indexLines(text)}
+	p := &parser{lines: indexLines(text)}
 	g := &Graph{Services: map[string]*Service{}, Text: text}
 	root := f.Section(ini.DefaultSection)
 	g.Version = Version(p.uint(root, "version", 0, true))
 	g.Retries = p.int(root, "retries", defaultRetries)
 	for _, s := range f.Sections() {
-		p.section(g, s)
+		p.parseSection(g, s)
 	}
 	p.check(g)
 	if len(p.problems) > 0 {
@@ -47,19 +47,19 @@
 	return g, nil
 }
 
-func (p *parser) add(line int, format string, args ...any) {
+func (p *parser) addProblem(line int, format string, args ...any) {
 	p.problems = append(p.problems, Problem{Line: line, Reason: fmt.Sprintf(format, args...)})
 }
 
-func (p *parser) section(g *Graph, s *ini.Section) {
+func (p *parser) parseSection(g *Graph, s *ini.Section) {
 	name := s.Name()
 	if name == ini.DefaultSection {
 		return
 	}
 	parts := strings.Split(name, ".")
-	line := p.ix.sections[name]
+	line := p.lines.sections[name]
 	if parts[0] != sectionService || (len(parts) != 2 && len(parts) != 4) {
-		p.add(line, "section [%s]: want [service.NAME], [service.NAME.instance.NAME] or [service.NAME.operation.NAME]", name)
+		p.addProblem(line, "section [%s]: want [service.NAME], [service.NAME.instance.NAME] or [service.NAME.operation.NAME]", name)
 		return
 	}
 	svc := g.Services[parts[1]]
@@ -70,33 +70,33 @@
 	if len(parts) == 2 {
 		svc.Slots = p.int(s, "slots", 0)
 		svc.Connections = p.int(s, "connections", 0)
-		svc.DependsOn = list(s, "depends_on")
+		svc.DependsOn = splitList(s, "depends_on")
 		if svc.Slots <= 0 {
-			p.add(p.ix.key(name, "slots"), "service %s: slots must be a whole number above 0", svc.Name)
+			p.addProblem(p.lines.lineOf(name, "slots"), "service %s: slots must be a whole number above 0", svc.Name)
 		}
 		return
 	}
 	switch parts[2] {
 	case sectionInstance:
-		svc.Instances = append(svc.Instances, p.instance(s, parts[3]))
+		svc.Instances = append(svc.Instances, p.parseInstance(s, parts[3]))
 	case sectionOperation:
-		svc.Operations[parts[3]] = p.operation(s, parts[3])
+		svc.Operations[parts[3]] = p.parseOperation(s, parts[3])
 	default:
-		p.add(line, "section [%s]: %q is neither instance nor operation", name, parts[2])
+		p.addProblem(line, "section [%s]: %q is neither instance nor operation", name, parts[2])
 	}
 }
 
-func (p *parser) instance(s *ini.Section, name string) Instance {
+func (p *parser) parseInstance(s *ini.Section, name string) Instance {
 	in := Instance{Name: name, DC: DC(s.Key("dc").String()), HTTP: s.Key("http").String(), Peer: s.Key("peer").String()}
 	for key, v := range map[string]string{"dc": string(in.DC), "http": in.HTTP, "peer": in.Peer} {
 		if v == "" {
-			p.add(p.ix.key(s.Name(), key), "instance %s: %s is missing", name, key)
+			p.addProblem(p.lines.lineOf(s.Name(), key), "instance %s: %s is missing", name, key)
 		}
 	}
 	return in
 }
 
-func (p *parser) operation(s *ini.Section, name string) *Operation {
+func (p *parser) parseOperation(s *ini.Section, name string) *Operation {
 	op := &Operation{
 		Name:       name,
 		Class:      call.Class(s.Key("class").String()),
@@ -106,12 +106,12 @@
 		Cost:       p.duration(s, "cost", time.Millisecond),
 	}
 	if op.Class != call.Critical && op.Class != call.Sheddable {
-		p.add(p.ix.key(s.Name(), "class"), "operation %s: class must be critical or sheddable, not %q", name, op.Class)
+		p.addProblem(p.lines.lineOf(s.Name(), "class"), "operation %s: class must be critical or sheddable, not %q", name, op.Class)
 	}
-	for _, c := range list(s, "calls") {
+	for _, c := range splitList(s, "calls") {
 		svc, opName, ok := strings.Cut(c, ".")
 		if !ok {
-			p.add(p.ix.key(s.Name(), "calls"), "operation %s: call %q must be written service.operation", name, c)
+			p.addProblem(p.lines.lineOf(s.Name(), "calls"), "operation %s: call %q must be written service.operation", name, c)
 			continue
 		}
 		op.Calls = append(op.Calls, Ref{Service: svc, Operation: opName})
@@ -125,7 +125,7 @@
 	}
 	n, err := s.Key(key).Int()
 	if err != nil || n < 0 {
-		p.add(p.ix.key(s.Name(), key), "%s: %q is not a whole number", key, s.Key(key).String())
+		p.addProblem(p.lines.lineOf(s.Name(), key), "%s: %q is not a whole number", key, s.Key(key).String())
 	}
 	return n
 }
@@ -133,13 +133,13 @@
 func (p *parser) uint(s *ini.Section, key string, def uint64, required bool) uint64 {
 	if !s.HasKey(key) {
 		if required {
-			p.add(0, "%s is missing at the top of the text", key)
+			p.addProblem(0, "%s is missing at the top of the text", key)
 		}
 		return def
 	}
 	n, err := s.Key(key).Uint64()
 	if err != nil || n == 0 {
-		p.add(p.ix.key(s.Name(), key), "%s: %q is not a whole number above 0", key, s.Key(key).String())
+		p.addProblem(p.lines.lineOf(s.Name(), key), "%s: %q is not a whole number above 0", key, s.Key(key).String())
 	}
 	return n
 }
@@ -150,7 +150,7 @@
 	}
 	v, err := s.Key(key).Bool()
 	if err != nil {
-		p.add(p.ix.key(s.Name(), key), "%s: %q is not true or false", key, s.Key(key).String())
+		p.addProblem(p.lines.lineOf(s.Name(), key), "%s: %q is not true or false", key, s.Key(key).String())
 	}
 	return v
 }
@@ -161,12 +161,12 @@
 	}
 	d, err := s.Key(key).Duration()
 	if err != nil || d <= 0 {
-		p.add(p.ix.key(s.Name(), key), "%s: %q is not a duration such as 250ms", key, s.Key(key).String())
+		p.addProblem(p.lines.lineOf(s.Name(), key), "%s: %q is not a duration such as 250ms", key, s.Key(key).String())
 	}
 	return d
 }
 
-func list(s *ini.Section, key string) []string {
+func splitList(s *ini.Section, key string) []string {
 	if !s.HasKey(key) {
 		return nil
 	}
--- a/callgraph/parse_bench_test.go
+++ b/callgraph/parse_bench_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// sizedText writes a text of the planned size: services with instances
-// spread over six data centres, each with two operations and a dependency
-// on the next service.
-func sizedText(services, instances int) []byte {
+// generateConfig returns a configuration in which each service has two
+// operations, depends on the next service, and has its share of the
+// instances, spread over six data centres.
+func generateConfig(services, instances int) []byte {
 	var b strings.Builder
 	b.WriteString("version = 1\nretries = 3\n")
 	for s := range services {
@@ -32,11 +32,10 @@
 	return []byte(b.String())
 }
 
-// BenchmarkParseSized parses a text of the planned size (120 services,
-// 1,100 instances) and reports its size: what each node fetches and checks
-// once per accepted change.
-func BenchmarkParseSized(b *testing.B) {
-	text := sizedText(120, 1100)
+// BenchmarkParse parses a configuration of 120 services and 1,100 instances,
+// as each node does once per accepted change.
+func BenchmarkParse(b *testing.B) {
+	text := generateConfig(120, 1100)
 	if _, err := Parse(text); err != nil {
 		b.Fatal(err)
 	}
@@ -47,11 +46,11 @@
 	b.ReportMetric(float64(len(text)), "B/text")
 }
 
-// BenchmarkGraphMemory reports the heap one parsed text of the planned size
-// holds; a node keeps those in force over its dedup window.
+// BenchmarkGraphMemory reports the heap size of one parsed configuration; a
+// node keeps every configuration of its dedup window.
 func BenchmarkGraphMemory(b *testing.B) {
 	const graphs = 20
-	text := sizedText(120, 1100)
+	text := generateConfig(120, 1100)
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -67,10 +66,10 @@
 	}
 }
 
-// BenchmarkInstance looks one instance up in a text of the planned size, as
-// a node does for every call that enters at it.
+// BenchmarkInstance looks up one instance, as a node does for every call that
+// enters the mesh through it.
 func BenchmarkInstance(b *testing.B) {
-	g, err := Parse(sizedText(120, 1100))
+	g, err := Parse(generateConfig(120, 1100))
 	if err != nil {
 		b.Fatal(err)
 	}
