--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings reads the INI settings file of one oatpin process: its
-// role, addresses, data centre and where it writes its time line.
+// Package settings loads and validates the INI settings file of one oatpin
+// process: its role, addresses, data centre and timeline file.
 package settings
--- a/settings/optional_test.go
+++ b/settings/optional_test.go
@@ -9,35 +9,35 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// switches stand for a section that most files do not have.
-type switches struct {
+// policies is an optional section.
+type policies struct {
 	Thresholds bool `ini:"thresholds"`
 	Vouch      bool `ini:"vouch"`
 }
 
-// An operator switches one policy off and misspells another. Taken silently,
-// the second would stay on, and the figures of that day would be believed.
-func TestAnOptionalSectionMayBeMissingButNotWrong(t *testing.T) {
-	read := func(text string) (switches, error) {
+// A misspelled key in an optional section must be an error, or the policy it
+// was meant to switch off would stay on unnoticed.
+func TestLoadOptional(t *testing.T) {
+	read := func(text string) (policies, error) {
 		path := filepath.Join(t.TempDir(), "s.ini")
 		So(os.WriteFile(path, []byte(text), 0o644), ShouldBeNil)
-		v := switches{Thresholds: true, Vouch: true}
+		v := policies{Thresholds: true, Vouch: true}
 		err := LoadOptional(path, "policies", &v)
 		return v, err
 	}
-	Convey("Missing, it leaves all as it was; what it names is set", t, func() {
+	Convey("A missing section leaves the defaults; a present one overrides them", t, func() {
 		v, err := read("[sidecar]\nname=a\n")
 		So(err, ShouldBeNil)
-		So(v, ShouldResemble, switches{Thresholds: true, Vouch: true})
+		So(v, ShouldResemble, policies{Thresholds: true, Vouch: true})
 		v, err = read("[policies]\nvouch = false\n")
 		So(err, ShouldBeNil)
-		So(v, ShouldResemble, switches{Thresholds: true})
+		So(v, ShouldResemble, policies{Thresholds: true})
 	})
-	Convey("An unknown key, a value that is neither, and no file are errors", t, func() {
+	Convey("An unknown key, a value that is not a boolean and a missing file are errors", t, func() {
 		for _, text := range []string{"[policies]\nvouches = false\n", "[policies]\nvouch = maybe\n"} {
 			_, err := read(text)
 			So(errors.Is(err, ErrInvalid), ShouldBeTrue)
 		}
-		So(errors.Is(LoadOptional(filepath.Join(t.TempDir(), "none.ini"), "policies", &switches{}), ErrInvalid), ShouldBeTrue)
+		So(errors.Is(LoadOptional(filepath.Join(t.TempDir(), "none.ini"), "policies", &policies{}), ErrInvalid), ShouldBeTrue)
 	})
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -16,44 +16,44 @@
 var ErrInvalid = eris.New("invalid settings")
 
 type (
-	// Node is the [node] section: one node beside one target VM.
+	// Node is the [node] section: the node of one target VM.
 	Node struct {
-		Instance string       `ini:"instance"` // name of this instance in the configuration text
+		Instance string       `ini:"instance"` // name of this instance in the configuration
 		DC       callgraph.DC `ini:"dc"`
 		HTTP     string       `ini:"http"`     // host:port for callers and the local target
 		Peer     string       `ini:"peer"`     // host:port for other nodes (msgpack over TCP)
 		Target   string       `ini:"target"`   // base URL of the local target
 		Platform string       `ini:"platform"` // base URL of the configuration service
-		// Seeds are HTTP addresses of other nodes, asked for the text while
-		// this node holds none and the platform does not answer.
+		// Seeds are HTTP addresses of other nodes, from which this node fetches
+		// its first configuration while the platform is unreachable.
 		Seeds     []string      `ini:"seeds"`
-		ClockSkew time.Duration `ini:"clock_skew"` // how far clocks of callers and nodes may differ; default 1s
-		Timeline  string        `ini:"timeline"`   // file for the time line; empty for standard error
+		ClockSkew time.Duration `ini:"clock_skew"` // maximum skew between clocks of callers and nodes; default 1s
+		Timeline  string        `ini:"timeline"`   // timeline file; empty for standard error
 	}
 
-	// Target is the [target] section: the stand-in back end.
+	// Target is the [target] section: the simulated back end.
 	Target struct {
 		Service  string `ini:"service"`
 		HTTP     string `ini:"http"`
 		Node     string `ini:"node"` // base URL of the local node, for calls to dependencies
 		Platform string `ini:"platform"`
-		// ColdStart is how long after its start work takes three times as
-		// long; HealthLag how old the health endpoint's answer may be.
+		// ColdStart is the warm-up period, in which requests take three times
+		// as long. HealthLag is the maximum age of a health endpoint response.
 		ColdStart time.Duration `ini:"cold_start"`
 		HealthLag time.Duration `ini:"health_lag"`
 		Timeline  string        `ini:"timeline"`
 	}
 
-	// Platform is the [platform] section: the stand-in configuration service.
+	// Platform is the [platform] section: the simulated configuration service.
 	Platform struct {
 		HTTP     string `ini:"http"`
-		Config   string `ini:"config"` // file with the first text; empty for none
+		Config   string `ini:"config"` // initial configuration file; empty for none
 		Timeline string `ini:"timeline"`
 	}
 )
 
-// Load reads the named section of the INI file at path into v, then checks
-// that every address is well formed.
+// Load reads the named section of the INI file at path into v, a pointer to a
+// struct with ini tags, and validates it. All errors wrap ErrInvalid.
 func Load(path, section string, v any) error {
 	f, err := ini.Load(path)
 	if err != nil {
@@ -62,11 +62,10 @@
 	if !f.HasSection(section) {
 		return eris.Wrapf(ErrInvalid, "%s: no [%s] section", path, section)
 	}
-	return read(f, path, section, v)
+	return mapSection(f, path, section, v)
 }
 
-// LoadOptional is Load for a section that may be missing; v then stays as it
-// is.
+// LoadOptional is like Load but leaves v unchanged if the section is missing.
 func LoadOptional(path, section string, v any) error {
 	f, err := ini.Load(path)
 	if err != nil {
@@ -75,25 +74,25 @@
 	if !f.HasSection(section) {
 		return nil
 	}
-	return read(f, path, section, v)
+	return mapSection(f, path, section, v)
 }
 
-func read(f *ini.File, path, section string, v any) error {
-	if err := unknownKeys(f.Section(section), v); err != nil {
+func mapSection(f *ini.File, path, section string, v any) error {
+	if err := rejectUnknownKeys(f.Section(section), v); err != nil {
 		return eris.Wrapf(ErrInvalid, "%s: [%s]: %v", path, section, err)
 	}
 	if err := f.Section(section).StrictMapTo(v); err != nil {
 		return eris.Wrapf(ErrInvalid, "%s: [%s]: %v", path, section, err)
 	}
-	if err := check(v); err != nil {
+	if err := validate(v); err != nil {
 		return eris.Wrapf(ErrInvalid, "%s: [%s]: %v", path, section, err)
 	}
 	return nil
 }
 
-// unknownKeys refuses keys that v has no field for: a misspelt key would
-// otherwise be dropped silently and its default used.
-func unknownKeys(s *ini.Section, v any) error {
+// rejectUnknownKeys rejects keys that v has no field for, so that a misspelled key
+// does not silently leave its default in effect.
+func rejectUnknownKeys(s *ini.Section, v any) error {
 	known := map[string]bool{}
 	t := reflect.TypeOf(v).Elem()
 	for i := range t.NumField() {
@@ -111,9 +110,9 @@
 	return nil
 }
 
-func check(v any) error {
+func validate(v any) error {
 	var problems []string
-	need := func(name, value string, ok func(string) bool) {
+	require := func(name, value string, ok func(string) bool) {
 		switch {
 		case value == "":
 			problems = append(problems, name+" is missing")
@@ -121,47 +120,47 @@
 			problems = append(problems, name+" "+value+" is not well formed")
 		}
 	}
-	atLeast := func(name string, ok bool) {
+	requireMin := func(name string, ok bool) {
 		if !ok {
 			problems = append(problems, name+" is too small")
 		}
 	}
 	switch s := v.(type) {
 	case *Node:
-		need("instance", s.Instance, nonEmpty)
-		need("dc", string(s.DC), nonEmpty)
-		need("http", s.HTTP, hostPort)
-		need("peer", s.Peer, hostPort)
-		need("target", s.Target, baseURL)
-		need("platform", s.Platform, baseURL)
+		require("instance", s.Instance, anyValue)
+		require("dc", string(s.DC), anyValue)
+		require("http", s.HTTP, isHostPort)
+		require("peer", s.Peer, isHostPort)
+		require("target", s.Target, isBaseURL)
+		require("platform", s.Platform, isBaseURL)
 		for _, seed := range s.Seeds {
-			need("seed", seed, hostPort)
+			require("seed", seed, isHostPort)
 		}
 	case *Sidecar:
-		need("name", s.Name, nonEmpty)
-		need("dc", string(s.DC), nonEmpty)
-		need("service", s.Service, nonEmpty)
+		require("name", s.Name, anyValue)
+		require("dc", string(s.DC), anyValue)
+		require("service", s.Service, anyValue)
 		for _, a := range []struct{ name, addr string }{{"target", s.Target}, {"callers", s.Callers}, {"peer", s.Peer},
 			{"ready", s.Ready}, {"metrics", s.Metrics}, {"store", s.Store}} {
-			need(a.name, a.addr, hostPort)
+			require(a.name, a.addr, isHostPort)
 		}
 		if s.Control != "" {
-			need("control", s.Control, hostPort)
+			require("control", s.Control, isHostPort)
 		}
 		for _, seed := range s.Seeds {
-			need("seed", seed, hostPort)
+			require("seed", seed, isHostPort)
 		}
-		atLeast("memory_mb", s.MemoryMB > 0)
-		atLeast("grace", s.Grace > 0)
-		atLeast("repeat_window", s.RepeatWindow > 0)
-		atLeast("repeat_ratio", s.RepeatRatio >= 0)
-		atLeast("repeat_slack", s.RepeatSlack >= 0)
+		requireMin("memory_mb", s.MemoryMB > 0)
+		requireMin("grace", s.Grace > 0)
+		requireMin("repeat_window", s.RepeatWindow > 0)
+		requireMin("repeat_ratio", s.RepeatRatio >= 0)
+		requireMin("repeat_slack", s.RepeatSlack >= 0)
 	case *Target:
-		need("service", s.Service, nonEmpty)
-		need("http", s.HTTP, hostPort)
-		need("node", s.Node, baseURL)
+		require("service", s.Service, anyValue)
+		require("http", s.HTTP, isHostPort)
+		require("node", s.Node, isBaseURL)
 	case *Platform:
-		need("http", s.HTTP, hostPort)
+		require("http", s.HTTP, isHostPort)
 	}
 	if len(problems) > 0 {
 		return eris.New(strings.Join(problems, "; "))
@@ -169,14 +168,14 @@
 	return nil
 }
 
-func nonEmpty(string) bool { return true }
+func anyValue(string) bool { return true }
 
-func hostPort(v string) bool {
+func isHostPort(v string) bool {
 	_, _, err := net.SplitHostPort(v)
 	return err == nil
 }
 
-func baseURL(v string) bool {
+func isBaseURL(v string) bool {
 	u, err := url.Parse(v)
 	return err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != ""
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -17,13 +17,13 @@
 		So(s.Instance, ShouldEqual, "entwurf-1")
 		So(string(s.DC), ShouldEqual, "halle-nord")
 	})
-	Convey("A wrong section is named", t, func() {
+	Convey("The error names the missing section", t, func() {
 		var s Target
 		err := Load("testdata/node.ini", "target", &s)
 		So(errors.Is(err, ErrInvalid), ShouldBeTrue)
 		So(err.Error(), ShouldContainSubstring, "no [target] section")
 	})
-	Convey("An unknown key is refused", t, func() {
+	Convey("An unknown key is rejected", t, func() {
 		var s Node
 		err := Load("testdata/bad-node.ini", "node", &s)
 		So(errors.Is(err, ErrInvalid), ShouldBeTrue)
@@ -31,10 +31,10 @@
 	})
 }
 
-func TestCheckNamesEveryBadField(t *testing.T) {
-	Convey("Every missing or malformed field is named", t, func() {
+func TestValidateReportsEveryInvalidKey(t *testing.T) {
+	Convey("The error names every missing or malformed field", t, func() {
 		s := Node{Instance: "x", HTTP: "127.0.0.1", Peer: "127.0.0.1:1", Target: "127.0.0.1:2", Platform: "http://p:1"}
-		err := check(&s)
+		err := validate(&s)
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "dc is missing")
 		So(err.Error(), ShouldContainSubstring, "http 127.0.0.1 is not well formed")
@@ -42,17 +42,15 @@
 	})
 }
 
-// An operator's file for a sidecar has several mistakes. All are named at
-// once, and nothing is put in force.
-func TestSidecarSettingsAreCheckedWhole(t *testing.T) {
-	Convey("Every problem is named; a good file has the defaults for the rest", t, func() {
+func TestSidecarReportsEveryInvalidKey(t *testing.T) {
+	Convey("Omitted keys have defaults; the error names every invalid key", t, func() {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "s.ini")
 		good := "[sidecar]\nname=a\ndc=d\nservice=s\ntarget=h:1\ncallers=h:2\npeer=h:3\nready=h:4\nmetrics=h:5\nstore=h:6\ncontrol=\nseeds=\n"
 		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
 		s := NewSidecar()
 		So(Load(path, "sidecar", &s), ShouldBeNil)
-		So(s.Grace, ShouldEqual, sidecarGrace)
+		So(s.Grace, ShouldEqual, defaultGrace)
 		So(s.Seeds, ShouldBeEmpty)
 		bad := strings.Replace(good, "target=h:1\n", "target=h\n", 1) + "memory_mb=0\nrepeat_ratio=-1\n"
 		So(os.WriteFile(path, []byte(strings.Replace(bad, "store=h:6\n", "", 1)), 0o600), ShouldBeNil)
