--- a/timeline/decisions.go
+++ b/timeline/decisions.go
@@ -11,21 +11,19 @@
 )
 
 const (
-	// LinesPerSecond is the usual bound on the lines of one kind: under
-	// overload every request is a decision, and forty lines a second of each
-	// kind show the pattern at a few percent of a small VM's processor.
+	// LinesPerSecond is the default limit on lines per second and event name.
+	// Under overload every request causes an event.
 	LinesPerSecond = 40
-	// queueLines is how many lines may wait for a slow reader: some seconds
-	// of a busy node, under half a megabyte.
-	queueLines = 1024
-	// flushWait bounds how long a stopping process waits for its reader.
-	flushWait = 200 * time.Millisecond
+	// queueSize is the number of lines buffered for a slow reader.
+	queueSize = 1024
+	// flushTimeout bounds how long Close waits for a slow reader.
+	flushTimeout = 200 * time.Millisecond
 )
 
 type (
-	// Async is a log handler that writes JSON lines on a goroutine of its
-	// own. A reader that stands still costs lines, which are counted, and
-	// never holds up the process.
+	// Async is a log handler that writes JSON lines on a separate goroutine.
+	// If the reader is slow it drops and counts lines instead of blocking.
+	// It is safe for concurrent use.
 	Async struct {
 		lines   chan *log.Entry
 		out     log.Handler
@@ -35,30 +33,31 @@
 		once    sync.Once
 	}
 
-	// Decisions writes one line for each decision about a request or a
-	// belief, at most so many of a kind in a second.
+	// Decisions logs events with a limit on lines per second and event name.
+	// It is safe for concurrent use.
 	Decisions struct {
-		log   log.Interface
-		most  int // lines of a kind in a second
-		mu    sync.Mutex
-		kinds map[string]*kind
+		log    log.Interface
+		limit  int // lines per second and event name
+		mu     sync.Mutex
+		counts map[string]*eventCount
 	}
 
-	kind struct {
-		second  int64
-		written int
-		left    int // out, in this second
+	// eventCount counts the lines of one event name in one second.
+	eventCount struct {
+		second     int64
+		written    int
+		suppressed int
 	}
 )
 
 // NewAsync returns an Async that writes to w.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan *log.Entry, queueLines), out: jsonlog.New(w), stop: make(chan struct{}), done: make(chan struct{})}
-	go a.write()
+	a := &Async{lines: make(chan *log.Entry, queueSize), out: jsonlog.New(w), stop: make(chan struct{}), done: make(chan struct{})}
+	go a.run()
 	return a
 }
 
-// HandleLog implements log.Handler; it never blocks.
+// HandleLog queues e. It never blocks and always returns nil.
 func (a *Async) HandleLog(e *log.Entry) error {
 	select {
 	case a.lines <- e:
@@ -68,78 +67,80 @@
 	return nil
 }
 
-// Dropped returns how many lines were lost to a slow reader.
+// Dropped returns the number of lines lost to a full queue or a write error.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits, for a short time at most.
+// Close writes the queued lines, giving up after flushTimeout. It always
+// returns nil and may be called more than once.
 func (a *Async) Close() error {
 	a.once.Do(func() { close(a.stop) })
 	select {
 	case <-a.done:
-	case <-time.After(flushWait):
+	case <-time.After(flushTimeout):
 	}
 	return nil
 }
 
-func (a *Async) write() {
+func (a *Async) run() {
 	defer close(a.done)
 	for {
 		select {
 		case e := <-a.lines:
-			a.put(e)
+			a.writeEntry(e)
 		case <-a.stop:
 			for len(a.lines) > 0 {
-				a.put(<-a.lines)
+				a.writeEntry(<-a.lines)
 			}
 			return
 		}
 	}
 }
 
-func (a *Async) put(e *log.Entry) {
-	// A line that cannot be written has nowhere else to go.
+func (a *Async) writeEntry(e *log.Entry) {
 	if a.out.HandleLog(e) != nil {
 		a.dropped.Add(1)
 	}
 }
 
-// NewDecisions returns a Decisions that writes to l, at most so many lines of
-// a kind in a second.
-func NewDecisions(l log.Interface, most int) *Decisions {
-	return &Decisions{log: l, most: most, kinds: map[string]*kind{}}
+// NewDecisions returns a Decisions that writes to l, at most limit lines per
+// second and event name.
+func NewDecisions(l log.Interface, limit int) *Decisions {
+	return &Decisions{log: l, limit: limit, counts: map[string]*eventCount{}}
 }
 
-// Note writes a line of a kind unless its bound for this second is reached;
-// fields is called only then. The first line of a later second tells how
-// many were left out.
+// Note logs an event unless its limit for the current second is reached;
+// fields is called only for events that are logged. The first line of a later
+// second has the number of suppressed lines in the field left_out.
 func (d *Decisions) Note(name string, fields func() log.Fields) {
-	left, ok := d.allow(name, time.Now().Unix())
+	suppressed, ok := d.allow(name, time.Now().Unix())
 	if !ok {
 		return
 	}
 	f := fields()
-	if left > 0 {
-		f["left_out"] = left
+	if suppressed > 0 {
+		f["left_out"] = suppressed
 	}
 	d.log.WithFields(f).Info(name)
 }
 
-func (d *Decisions) allow(name string, second int64) (left int, ok bool) {
+// allow reports whether a line may be written and, on the first line of a
+// second, how many were suppressed before.
+func (d *Decisions) allow(name string, second int64) (suppressed int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	k := d.kinds[name]
-	if k == nil {
-		k = &kind{}
-		d.kinds[name] = k
+	c := d.counts[name]
+	if c == nil {
+		c = &eventCount{}
+		d.counts[name] = c
 	}
-	if k.second != second {
-		left = k.left
-		*k = kind{second: second}
+	if c.second != second {
+		suppressed = c.suppressed
+		*c = eventCount{second: second}
 	}
-	if k.written >= d.most {
-		k.left++
+	if c.written >= d.limit {
+		c.suppressed++
 		return 0, false
 	}
-	k.written++
-	return left, true
+	c.written++
+	return suppressed, true
 }
--- a/timeline/decisions_test.go
+++ b/timeline/decisions_test.go
@@ -14,60 +14,59 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// stuck is a reader that stands still until it is let go.
-type stuck struct {
+// blockedWriter blocks writes while its mutex is held.
+type blockedWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Whoever reads a node's output stands still. Lines pile up, requests must
-// not: a full queue drops lines and counts them.
-func TestAStuckReaderCostsLinesOnly(t *testing.T) {
-	Convey("Logging goes on at once, drops are counted, the rest is written", t, func() {
-		w := &stuck{}
+// A blocked writer must not block logging: lines beyond the queue are dropped
+// and counted.
+func TestAsyncDropsLinesWhenWriterBlocks(t *testing.T) {
+	Convey("Logging does not block, drops are counted and queued lines are written", t, func() {
+		w := &blockedWriter{}
 		w.mu.Lock()
 		a := NewAsync(w)
 		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
 		began := time.Now()
-		for range 3 * queueLines {
+		for range 3 * queueSize {
 			l.Info("line")
 		}
 		So(time.Since(began), ShouldBeLessThan, time.Second)
-		So(a.Dropped(), ShouldBeBetweenOrEqual, 2*queueLines-1, 2*queueLines)
+		So(a.Dropped(), ShouldBeBetweenOrEqual, 2*queueSize-1, 2*queueSize)
 		w.mu.Unlock()
 		So(a.Close(), ShouldBeNil)
-		So(strings.Count(w.buf.String(), "\n"), ShouldEqual, 3*queueLines-int(a.Dropped()))
+		So(strings.Count(w.buf.String(), "\n"), ShouldEqual, 3*queueSize-int(a.Dropped()))
 	})
 }
 
-// The reader stands still and the process is told to stop: it may not wait
-// for its log.
-func TestAStuckReaderDoesNotHoldUpAStop(t *testing.T) {
-	Convey("Close gives up after a moment, with a full queue too", t, func() {
+// A blocked writer must not block the shutdown of the process.
+func TestAsyncCloseTimesOut(t *testing.T) {
+	Convey("Close gives up after flushTimeout, also with a full queue", t, func() {
 		r, w := io.Pipe()
 		defer r.Close()
 		a := NewAsync(w)
 		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
-		for range 2 * queueLines {
+		for range 2 * queueSize {
 			l.Info("line")
 		}
 		began := time.Now()
 		a.Close()
-		So(time.Since(began), ShouldBeLessThan, 5*flushWait)
+		So(time.Since(began), ShouldBeLessThan, 5*flushTimeout)
 	})
 }
 
-// Under overload every request is a decision. The lines of one kind are
-// bounded, another kind keeps its own room, and what was left out is told.
-func TestLinesOfOneKindAreBounded(t *testing.T) {
+// Each event name has its own limit, so that frequent events do not suppress
+// others, and suppressed lines are counted.
+func TestLineLimitPerEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("So many a second of each kind, the rest is counted", t, func() {
+		Convey("Lines over the limit are suppressed and counted per event name", t, func() {
 			lines := memory.New()
 			d := NewDecisions(&log.Logger{Handler: lines, Level: log.InfoLevel}, LinesPerSecond)
 			built := 0
@@ -89,8 +88,7 @@
 	})
 }
 
-// BenchmarkNote measures a decision that is written and one that is over the
-// bound.
+// BenchmarkNote measures logging with nearly all events over the limit.
 func BenchmarkNote(b *testing.B) {
 	a := NewAsync(io.Discard)
 	d := NewDecisions(&log.Logger{Handler: a, Level: log.InfoLevel}, LinesPerSecond)
--- a/timeline/doc.go
+++ b/timeline/doc.go
@@ -1,4 +1,4 @@
-// Package timeline gives every process a structured log of its changes of
-// state, one JSON line each with its time and process, and merges the
-// files of many processes into one time line ordered by time.
+// Package timeline writes structured event logs of state changes, as JSON lines
+// with a timestamp and process name, and merges the logs of several processes
+// into one timeline.
 package timeline
--- a/timeline/timeline.go
+++ b/timeline/timeline.go
@@ -14,7 +14,7 @@
 )
 
 type (
-	// Event is one line of a time line, as the JSON handler writes it.
+	// Event is one line of a timeline, as written by the JSON handler.
 	Event struct {
 		Fields    map[string]any `json:"fields"`
 		Level     string         `json:"level"`
@@ -23,14 +23,15 @@
 	}
 )
 
-// Open returns a logger for one process that writes JSON lines to path
-// (standard error when path is empty), each with the process's name.
+// Open returns a logger that appends JSON lines with the process name to the
+// file at path, or writes them to standard error if path is empty. The caller
+// must close the Closer.
 func Open(path, process string) (log.Interface, io.Closer, error) {
 	var w io.WriteCloser = nopCloser{os.Stderr}
 	if path != "" {
 		f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 		if err != nil {
-			return nil, nil, eris.Wrapf(err, "open time line %s", path)
+			return nil, nil, eris.Wrapf(err, "open timeline %s", path)
 		}
 		w = f
 	}
@@ -38,12 +39,12 @@
 	return l.WithField("process", process), w, nil
 }
 
-// Merge reads the time lines in paths and writes their events to w as one
-// JSON line each, ordered by time; events of the same time keep file order.
+// Merge reads the timeline files in paths and writes their events to w as JSON
+// lines in order of time. The sort is stable.
 func Merge(w io.Writer, paths ...string) error {
 	var events []Event
 	for _, p := range paths {
-		evs, err := read(p)
+		evs, err := readFile(p)
 		if err != nil {
 			return err
 		}
@@ -59,10 +60,10 @@
 	return nil
 }
 
-func read(path string) ([]Event, error) {
+func readFile(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, eris.Wrapf(err, "open time line %s", path)
+		return nil, eris.Wrapf(err, "open timeline %s", path)
 	}
 	defer f.Close()
 	var events []Event
