--- a/configservice/doc.go
+++ b/configservice/doc.go
@@ -1,5 +1,5 @@
-// Package configservice is the stand-in of the users' platform: a configuration
-// service that can only be read and watched (a waiting watch counts as one
-// call), limited to about two thousand reads a second, that can be switched
-// down or stale; and the lagging list of live and leaving VMs.
+// Package configservice simulates the deployment platform: a rate-limited
+// configuration service with reads and long-poll watches, and a delayed list
+// of leaving VMs. The service can be switched to be down or to return stale
+// configurations.
 package configservice
--- a/configservice/service.go
+++ b/configservice/service.go
@@ -13,50 +13,51 @@
 	"golang.org/x/time/rate"
 )
 
-// Modes the configuration service can be switched to.
+// Response modes of the configuration service.
 const (
 	ModeUp    Mode = "up"
 	ModeDown  Mode = "down"  // every read fails
-	ModeStale Mode = "stale" // reads answer with the text before the newest
+	ModeStale Mode = "stale" // reads return the previous configuration
 )
 
 const (
-	// ReadsPerSecond is the read rate across all readers past which reads
-	// are refused.
+	// ReadsPerSecond is the default rate limit for all readers together, in
+	// reads per second.
 	ReadsPerSecond = 2000
-	maxText        = 1 << 20
+	maxConfigBytes = 1 << 20
 	maxWait        = time.Minute
 )
 
 type (
-	// Mode is how the configuration service answers now.
+	// Mode is a response mode of the configuration service.
 	Mode string
 
-	// Config is what a Platform is built from.
+	// Config is the configuration of a Platform.
 	Config struct {
-		Text  []byte        // first text; nil for none
-		VMLag time.Duration // how far the VM list lags behind
+		Text  []byte        // initial configuration; nil for none
+		VMLag time.Duration // delay until readers see a change of the VM list
 		Log   log.Interface
-		Reads float64 // reads a second; 0 for ReadsPerSecond
+		Reads float64 // rate limit in reads per second; 0 for ReadsPerSecond
 	}
 
-	// Platform is one running stand-in.
+	// Platform is a simulated configuration service. It is safe for concurrent
+	// use.
 	Platform struct {
 		cfg     Config
 		log     log.Interface
 		limiter *rate.Limiter
 
-		mu      sync.Mutex
-		current *callgraph.Graph
-		before  *callgraph.Graph
-		mode    Mode
-		changed chan struct{} // closed and replaced on each accepted text
-		vms     []vmChange
+		mu       sync.Mutex
+		current  *callgraph.Graph
+		previous *callgraph.Graph
+		mode     Mode
+		changed  chan struct{} // closed and replaced on each change of the configuration or VM list
+		vms      []vmChange
 	}
 )
 
-// New builds a Platform; an invalid cfg.Text is an error wrapping
-// callgraph.ErrInvalid.
+// New returns a Platform. The error wraps callgraph.ErrInvalid if cfg.Text is
+// invalid.
 func New(cfg Config) (*Platform, error) {
 	if cfg.Reads == 0 {
 		cfg.Reads = ReadsPerSecond
@@ -74,8 +75,9 @@
 	return p, nil
 }
 
-// Submit accepts a new text if it is valid and newer than the one held.
-// It returns an error wrapping callgraph.ErrInvalid or callgraph.ErrStale.
+// Submit makes a configuration current if it is valid and newer than the
+// current one; otherwise the error wraps callgraph.ErrInvalid or
+// callgraph.ErrStale.
 func (p *Platform) Submit(text []byte) (callgraph.Version, error) {
 	g, err := callgraph.Parse(text)
 	if err != nil {
@@ -87,14 +89,14 @@
 		return 0, callgraph.ErrStale
 	}
 	g.Accepted = time.Now()
-	p.before, p.current = p.current, g
+	p.previous, p.current = p.current, g
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.log.WithField("version", g.Version).Info("config_accepted")
 	return g.Version, nil
 }
 
-// SetMode switches how the configuration service answers.
+// SetMode switches the response mode.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
@@ -102,7 +104,7 @@
 	p.log.WithField("mode", m).Info("platform_mode")
 }
 
-// Handler returns the platform's HTTP API.
+// Handler returns the HTTP API of the service.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config", p.handleConfig)
@@ -113,9 +115,8 @@
 	return mux
 }
 
-// handleConfig answers a read, or a watch when after= names the version the
-// reader holds: it waits up to wait= for a newer one and answers 304 if none
-// came.
+// handleConfig serves a configuration newer than the version in after=. It
+// blocks up to wait= for one and then responds with 304.
 func (p *Platform) handleConfig(w http.ResponseWriter, r *http.Request) {
 	after, wait, ok := p.admitWatch(w, r)
 	if !ok {
@@ -146,8 +147,8 @@
 	}
 }
 
-// admitWatch counts a read or watch against the rate and reads its
-// parameters; over the rate it answers 429 itself.
+// admitWatch applies the rate limit to a read or watch and parses its
+// parameters. Over the limit it responds with 429 and ok is false.
 func (p *Platform) admitWatch(w http.ResponseWriter, r *http.Request) (after uint64, wait time.Duration, ok bool) {
 	if !p.limiter.Allow() {
 		w.Header().Set("Retry-After", "1")
@@ -159,17 +160,19 @@
 	return after, min(wait, maxWait), true
 }
 
+// view returns the configuration to serve, the mode and the channel that is
+// closed on a change.
 func (p *Platform) view() (*callgraph.Graph, Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == ModeStale {
-		return p.before, p.mode, p.changed
+		return p.previous, p.mode, p.changed
 	}
 	return p.current, p.mode, p.changed
 }
 
 func (p *Platform) handleSubmit(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxText))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
--- a/configservice/vms.go
+++ b/configservice/vms.go
@@ -7,40 +7,39 @@
 )
 
 type (
-	// VM is one change of the VM list: an instance not mentioned is live.
+	// VM is one change of the VM list; instances without a change are live.
 	VM struct {
 		Instance string `json:"instance"`
 		Leaving  bool   `json:"leaving"`
 	}
 
-	// VMList is what a read of the VM list answers: the changes after the
-	// revision the reader holds, oldest first, or from the beginning when
-	// the platform does not know that revision.
+	// VMList is the response to a read of the VM list: the changes after the
+	// reader's revision, oldest first, or all changes if that revision is
+	// unknown.
 	VMList struct {
 		Revision uint64 `json:"revision"`
-		Full     bool   `json:"full"` // VMs starts at the beginning
+		Full     bool   `json:"full"` // VMs has all changes
 		VMs      []VM   `json:"vms"`
 	}
 
 	vmChange struct {
 		VM
-		visible time.Time // when the list's lag has passed
+		visibleAt time.Time // when readers may see the change
 	}
 )
 
-// SetLeaving marks an instance as leaving in the VM list; readers see it
-// after the list's lag.
+// SetLeaving marks an instance as leaving; readers see the change after
+// Config.VMLag.
 func (p *Platform) SetLeaving(instance string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms = append(p.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visible: time.Now().Add(p.cfg.VMLag)})
+	p.vms = append(p.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visibleAt: time.Now().Add(p.cfg.VMLag)})
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// handleVMs answers a read of the VM list, or a watch when after= names the
-// revision the reader holds: it waits up to wait= for a change that readers
-// may see and answers 304 if none came.
+// handleVMs serves the changes after the revision in after=. It blocks up to
+// wait= for a visible change and then responds with 304.
 func (p *Platform) handleVMs(w http.ResponseWriter, r *http.Request) {
 	after, wait, ok := p.admitWatch(w, r)
 	if !ok {
@@ -75,16 +74,16 @@
 	}
 }
 
-// visibleVMs returns the changes after a revision that readers may see now,
-// when the next one becomes visible (zero for none), and the channel that
-// is closed on a change. Revision 0 and one from another run of the
-// platform get the full list; revisions begin at 1.
+// visibleVMs returns the visible changes after a revision, the time at which
+// the next one becomes visible (zero for none), and the channel that is closed
+// on a change. Revision 0 and unknown revisions, such as from before a restart
+// of the service, get the full list; revisions start at 1.
 func (p *Platform) visibleVMs(after uint64) (VMList, time.Time, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	n := 0
-	for n < len(p.vms) && !p.vms[n].visible.After(now) {
+	for n < len(p.vms) && !p.vms[n].visibleAt.After(now) {
 		n++
 	}
 	list := VMList{Revision: uint64(n) + 1}
@@ -99,7 +98,7 @@
 	}
 	var next time.Time
 	if n < len(p.vms) {
-		next = p.vms[n].visible
+		next = p.vms[n].visibleAt
 	}
 	return list, next, p.changed
 }
--- a/configservice/vms_test.go
+++ b/configservice/vms_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// readVMs asks p for the VM list after a revision, waiting up to wait.
+// readVMs reads the VM list after a revision, blocking up to wait.
 func readVMs(p *Platform, after, wait string) (int, VMList) {
 	w := httptest.NewRecorder()
 	p.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/vms?after="+after+"&wait="+wait, nil))
@@ -20,16 +20,15 @@
 	return w.Code, list
 }
 
-// An operator takes archiv-2 away. A node that watches the list must be told
-// once the list's lag has passed, without asking again and again; one that
-// holds a revision of another platform process gets the whole list.
-func TestVMListIsWatched(t *testing.T) {
+// A watch must return when a change becomes visible, without polling, and a
+// reader with an unknown revision must get the full list.
+func TestWatchVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, err := New(Config{VMLag: 3 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		Convey("A first read is full, a watch answers when the change is visible", t, func() {
+		Convey("The first read is full, a watch returns when the change is visible", t, func() {
 			_, list := readVMs(p, "0", "20s")
 			So(list, ShouldResemble, VMList{Revision: 1, Full: true})
 			start := time.Now()
@@ -38,7 +37,7 @@
 			So(list, ShouldResemble, VMList{Revision: 2, VMs: []VM{{"archiv-2", true}}})
 			So(time.Since(start), ShouldEqual, 4*time.Second)
 		})
-		Convey("A watch without a change ends as not modified", t, func() {
+		Convey("A watch without a change returns 304", t, func() {
 			code, _ := readVMs(p, "2", "20s")
 			So(code, ShouldEqual, http.StatusNotModified)
 		})
