--- a/cmd/oatpin/check.go
+++ b/cmd/oatpin/check.go
@@ -14,7 +14,7 @@
 	ArgsUsage: "FILE...",
 	Action: func(c *cli.Context) error {
 		if c.NArg() == 0 {
-			return cli.Exit("check: name at least one file", 2)
+			return cli.Exit("check: at least one FILE is required", 2)
 		}
 		bad := 0
 		for _, path := range c.Args().Slice() {
--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v2"
 )
 
-// deployments are the embedded texts the demo runs, with the operations
-// their callers send and where their platform stand-in listens.
+// deployments are the example configurations that the demo runs, with the
+// operations that callers send and the address of the simulated platform.
 var deployments = []struct {
 	name     string
 	text     []byte
@@ -52,7 +52,7 @@
 				return err
 			}
 			rep := load.Run(c.Context, load.Config{Graph: m.Graph, Entries: d.entries, Rate: c.Float64("rate"), Duration: c.Duration("duration"), Retries: 2})
-			fmt.Fprintf(c.App.Writer, "== %s: %d instances, deepest chain %d\n", d.name, len(m.Nodes), deepest(m.Graph, d.entries))
+			fmt.Fprintf(c.App.Writer, "== %s: %d instances, deepest chain %d\n", d.name, len(m.Nodes), maxDepth(m.Graph, d.entries))
 			rep.Print(c.App.Writer)
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			m.Stop(ctx)
@@ -62,7 +62,7 @@
 	},
 }
 
-func deepest(g *callgraph.Graph, refs []callgraph.Ref) int {
+func maxDepth(g *callgraph.Graph, refs []callgraph.Ref) int {
 	d := 0
 	for _, r := range refs {
 		d = max(d, g.Depth(r))
--- a/cmd/oatpin/experiment.go
+++ b/cmd/oatpin/experiment.go
@@ -55,7 +55,7 @@
 	},
 }
 
-// printRow writes one mode's row of the table and returns the mode's name.
+// printRow writes the table row of one mode and returns the mode's name.
 func printRow(c *cli.Context, baseline bool, res demo.Result) string {
 	mode := "oatpin"
 	if baseline {
--- a/cmd/oatpin/main.go
+++ b/cmd/oatpin/main.go
@@ -1,6 +1,6 @@
-// Command oatpin runs one role of the overload control layer: a node beside
-// a target VM, the stand-in platform or target, the load tool, the demo, or
-// checks of configuration texts and time lines.
+// Command oatpin runs one role of the overload control layer: a node or
+// sidecar, a simulated platform or target, the load generator, the demo or the
+// slowdown experiment. It also checks configurations and merges timelines.
 package main
 
 import (
--- a/cmd/oatpin/process_test.go
+++ b/cmd/oatpin/process_test.go
@@ -20,46 +20,46 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fleet is a set of oatpin processes started by a test, each from its own
-// settings file, killed when the test ends.
-type fleet struct {
+// cluster is a set of oatpin processes, each with its own settings file, that
+// are killed when the test ends.
+type cluster struct {
 	t     *testing.T
 	bin   string
 	dir   string
 	procs map[string]*exec.Cmd
 
-	platform string // host:port of the platform of startPair
+	platform string // host:port of the platform, set by startPair
 }
 
-func newFleet(t *testing.T) *fleet {
+func newCluster(t *testing.T) *cluster {
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "oatpin")
 	build := exec.Command("go", "build", "-o", bin, ".")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	f := &fleet{t: t, bin: bin, dir: dir, procs: map[string]*exec.Cmd{}}
+	cl := &cluster{t: t, bin: bin, dir: dir, procs: map[string]*exec.Cmd{}}
 	t.Cleanup(func() {
-		for _, p := range f.procs {
+		for _, p := range cl.procs {
 			p.Process.Kill()
 			p.Wait()
 		}
 	})
-	return f
+	return cl
 }
 
-// start runs one role from settings text and waits until addr accepts.
-func (f *fleet) start(name, role, settings, addr string) *exec.Cmd {
-	path := filepath.Join(f.dir, name+".ini")
+// start runs one role with the given settings and waits until it listens on addr.
+func (cl *cluster) start(name, role, settings, addr string) *exec.Cmd {
+	path := filepath.Join(cl.dir, name+".ini")
 	if err := os.WriteFile(path, []byte(settings), 0o644); err != nil {
-		f.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	cmd := exec.Command(f.bin, role, "-s", path)
+	cmd := exec.Command(cl.bin, role, "-s", path)
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
-		f.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
-	f.procs[name] = cmd
+	cl.procs[name] = cmd
 	for range 100 {
 		if c, err := net.Dial("tcp", addr); err == nil {
 			c.Close()
@@ -67,21 +67,21 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.t.Fatalf("%s did not listen on %s", name, addr)
+	cl.t.Fatalf("%s did not listen on %s", name, addr)
 	return nil
 }
 
-// givenPorts are those that freePorts returned.
-var givenPorts = map[int]bool{}
+// allocatedPorts are the ports that freePorts has returned.
+var allocatedPorts = map[int]bool{}
 
-// freePorts returns n loopback ports that were free, none of them twice, picked below the
-// kernel's ephemeral range so that outgoing connections do not take them
-// between this check and the process binding them.
+// freePorts returns n free loopback ports, none of them twice. They are below
+// the kernel's ephemeral range, so that no outgoing connection takes them before
+// the process binds them.
 func freePorts(t *testing.T, n int) []int {
 	var ports []int
 	for len(ports) < n {
 		p := 20000 + rand.IntN(10000)
-		if givenPorts[p] {
+		if allocatedPorts[p] {
 			continue
 		}
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p))
@@ -89,21 +89,21 @@
 			continue
 		}
 		l.Close()
-		givenPorts[p] = true
+		allocatedPorts[p] = true
 		ports = append(ports, p)
 	}
 	return ports
 }
 
-// timeline names the time line file of one process.
-func (f *fleet) timeline(name string) string { return filepath.Join(f.dir, name+".jsonl") }
+// timeline returns the path of a process's timeline file.
+func (cl *cluster) timeline(name string) string { return filepath.Join(cl.dir, name+".jsonl") }
 
 func get(url string) (*http.Response, string, error) { return do(http.MethodGet, url) }
 
 func post(url string) (*http.Response, string, error) { return do(http.MethodPost, url) }
 
-// do sends one request with no body and headers given as names and values in
-// turn, and reads the whole answer.
+// do sends a request without body and with alternating header names and values,
+// and reads the whole response.
 func do(method, url string, headers ...string) (*http.Response, string, error) {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
@@ -121,54 +121,54 @@
 	return resp, string(body), nil
 }
 
-// pairNode is one node of the pair the tests run, with its target.
+// pairNode has the name, service and ports of one node and its target.
 type pairNode struct{ name, service, http, peer, target string }
 
-// startPair runs the platform, and freigabe and archiv with a node and a
-// target each, every role its own process, and waits until an approval
-// crosses them. It returns freigabe's node, archiv's node and the base URL
-// of freigabe's operations.
-func (f *fleet) startPair() (freigabe, archiv pairNode, entry string) {
-	p := freePorts(f.t, 7)
+// startPair starts the platform and, for the services freigabe and archiv, a
+// node and a target each. It waits until an approval, which freigabe forwards
+// to archiv, succeeds, and returns both nodes and the base URL of freigabe's
+// operations.
+func (cl *cluster) startPair() (freigabe, archiv pairNode, entry string) {
+	p := freePorts(cl.t, 7)
 	text, err := os.ReadFile("testdata/pair.ini")
 	if err != nil {
-		f.t.Fatal(err)
+		cl.t.Fatal(err)
 	}
 	cfg := strings.NewReplacer("PORT_A_HTTP", fmt.Sprint(p[0]), "PORT_A_PEER", fmt.Sprint(p[1]),
 		"PORT_B_HTTP", fmt.Sprint(p[2]), "PORT_B_PEER", fmt.Sprint(p[3])).Replace(string(text))
-	cfgPath := filepath.Join(f.dir, "text.ini")
+	cfgPath := filepath.Join(cl.dir, "text.ini")
 	os.WriteFile(cfgPath, []byte(cfg), 0o644)
 	platform := fmt.Sprintf("127.0.0.1:%d", p[4])
-	f.platform = platform
-	f.start("platform", "platform", fmt.Sprintf("[platform]\nhttp = %s\nconfig = %s\ntimeline = %s\n", platform, cfgPath, f.timeline("platform")), platform)
+	cl.platform = platform
+	cl.start("platform", "platform", fmt.Sprintf("[platform]\nhttp = %s\nconfig = %s\ntimeline = %s\n", platform, cfgPath, cl.timeline("platform")), platform)
 	freigabe = pairNode{"freigabe-1", "freigabe", fmt.Sprint(p[0]), fmt.Sprint(p[1]), fmt.Sprint(p[5])}
 	archiv = pairNode{"archiv-1", "archiv", fmt.Sprint(p[2]), fmt.Sprint(p[3]), fmt.Sprint(p[6])}
 	for _, n := range []pairNode{freigabe, archiv} {
-		f.startNode(n, platform)
-		f.start(n.name+"-target", "target", fmt.Sprintf("[target]\nservice = %s\nhttp = 127.0.0.1:%s\nnode = http://127.0.0.1:%s\nplatform = http://%s\n",
+		cl.startNode(n, platform)
+		cl.start(n.name+"-target", "target", fmt.Sprintf("[target]\nservice = %s\nhttp = 127.0.0.1:%s\nnode = http://127.0.0.1:%s\nplatform = http://%s\n",
 			n.service, n.target, n.http, platform), "127.0.0.1:"+n.target)
 	}
 	entry = "http://127.0.0.1:" + freigabe.http + "/v1/call/freigabe/"
-	for range 50 { // the nodes fetch the text from the platform first
+	for range 50 { // until the nodes have fetched the configuration
 		resp, _, err := post(entry + "approve")
 		if err == nil && resp.StatusCode == http.StatusOK {
 			return freigabe, archiv, entry
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	f.t.Fatal("no approval crossed the pair")
+	cl.t.Fatal("no approval succeeded")
 	return
 }
 
-// startNode runs a node of the pair.
-func (f *fleet) startNode(n pairNode, platform string) {
-	f.start(n.name, "node", fmt.Sprintf("[node]\ninstance = %s\ndc = halle-nord\nhttp = 127.0.0.1:%s\npeer = 127.0.0.1:%s\ntarget = http://127.0.0.1:%s\nplatform = http://%s\ntimeline = %s\n",
-		n.name, n.http, n.peer, n.target, platform, f.timeline(n.name)), "127.0.0.1:"+n.http)
+// startNode starts the node of n.
+func (cl *cluster) startNode(n pairNode, platform string) {
+	cl.start(n.name, "node", fmt.Sprintf("[node]\ninstance = %s\ndc = halle-nord\nhttp = 127.0.0.1:%s\npeer = 127.0.0.1:%s\ntarget = http://127.0.0.1:%s\nplatform = http://%s\ntimeline = %s\n",
+		n.name, n.http, n.peer, n.target, platform, cl.timeline(n.name)), "127.0.0.1:"+n.http)
 }
 
-// postLater posts to url and sends the status code when it is answered, 0
-// for none.
-func postLater(url string) <-chan int {
+// postAsync posts to url in the background and sends the status code, 0 for an
+// error.
+func postAsync(url string) <-chan int {
 	code := make(chan int, 1)
 	go func() {
 		resp, _, err := post(url)
@@ -181,31 +181,28 @@
 	return code
 }
 
-// An operator stops archiv's node with SIGTERM while an approval is being
-// stored slowly behind it. The approval must finish whole; the editor who
-// sends the next approval must be told at once that it did not run and
-// when to come back, and nothing of it may run. Every role runs as its own
-// process here, started from its own settings file.
-func TestSeparateProcessesServeAndStopGracefully(t *testing.T) {
-	f := newFleet(t)
-	freigabe, _, entry := f.startPair()
+// On SIGTERM a node must finish the request in progress and promptly reject the
+// next one as not run, with Retry-After and without running any part of it.
+func TestProcessesServeAndShutDownGracefully(t *testing.T) {
+	cl := newCluster(t)
+	freigabe, _, entry := cl.startPair()
 
-	Convey("An approval crosses two nodes and two targets, each its own process", t, func() {
+	Convey("An approval passes through two nodes and two targets", t, func() {
 		resp, body, err := post(entry + "approve")
 		So(err, ShouldBeNil)
 		So(resp.StatusCode, ShouldEqual, http.StatusOK)
 		So(body, ShouldContainSubstring, "archiv.store")
 	})
 
-	Convey("SIGTERM to archiv's node lets the slow approval finish and refuses the next at once", t, func() {
-		slow := postLater(entry + "approve_slowly")
+	Convey("After SIGTERM archiv's node finishes the slow approval and rejects the next", t, func() {
+		slow := postAsync(entry + "approve_slowly")
 		time.Sleep(300 * time.Millisecond)
-		So(f.procs["archiv-1"].Process.Signal(syscall.SIGTERM), ShouldBeNil)
+		So(cl.procs["archiv-1"].Process.Signal(syscall.SIGTERM), ShouldBeNil)
 		time.Sleep(200 * time.Millisecond)
 		t0 := time.Now()
 		resp, _, err := post(entry + "approve")
 		So(err, ShouldBeNil)
-		// Not held back toward the 5 s deadline: answered in well under half.
+		// Rejected promptly instead of near the 5 s deadline.
 		So(time.Since(t0), ShouldBeLessThan, 2500*time.Millisecond)
 		So(resp.Header.Get(call.HeaderStatus), ShouldEqual, string(call.NotRun))
 		So(resp.Header.Get("Retry-After"), ShouldNotBeEmpty)
@@ -217,9 +214,9 @@
 		So(effects, ShouldNotContainSubstring, refused)
 	})
 
-	Convey("The processes' time lines merge into one, in order of time", t, func() {
+	Convey("The processes' timelines merge in order of time", t, func() {
 		var out strings.Builder
-		files, _ := filepath.Glob(filepath.Join(f.dir, "*.jsonl"))
+		files, _ := filepath.Glob(filepath.Join(cl.dir, "*.jsonl"))
 		So(len(files), ShouldEqual, 3)
 		So(timeline.Merge(&out, files...), ShouldBeNil)
 		merged := out.String()
@@ -228,42 +225,38 @@
 	})
 }
 
-// archiv's node, its target, or the node at which callers enter is stopped
-// while an approval takes 4 s at archiv, longer than the drain lasts, and
-// then calls archiv once more. The process must stay, with all that the
-// approval still needs of it, until the approval is answered whole; one
-// sent meanwhile is refused at once as not run, with when to come back.
-func TestStopWaitsForSlowRequests(t *testing.T) {
+// On SIGTERM a node or target must not exit before a request longer than the
+// drain period and its later calls are complete. Requests sent meanwhile must be
+// rejected as not run.
+func TestShutdownWaitsForSlowRequests(t *testing.T) {
 	for stopped, op := range map[string]string{
 		"archiv-1":        "approve_very_slowly",
 		"archiv-1-target": "approve_very_slowly",
 		"freigabe-1":      "approve_in_two_steps",
 	} {
-		f := newFleet(t)
-		_, _, entry := f.startPair()
-		Convey("SIGTERM to "+stopped+" cuts no request in progress", t, func() {
-			slow := postLater(entry + op)
+		cl := newCluster(t)
+		_, _, entry := cl.startPair()
+		Convey("SIGTERM to "+stopped+" interrupts no request in progress", t, func() {
+			slow := postAsync(entry + op)
 			time.Sleep(300 * time.Millisecond)
-			So(f.procs[stopped].Process.Signal(syscall.SIGTERM), ShouldBeNil)
+			So(cl.procs[stopped].Process.Signal(syscall.SIGTERM), ShouldBeNil)
 			time.Sleep(200 * time.Millisecond)
 			resp, _, err := post(entry + "approve")
 			So(err, ShouldBeNil)
 			So(resp.Header.Get(call.HeaderStatus), ShouldEqual, string(call.NotRun))
 			So(resp.Header.Get("Retry-After"), ShouldNotBeEmpty)
 			So(<-slow, ShouldEqual, http.StatusOK)
-			So(f.procs[stopped].Wait(), ShouldBeNil)
+			So(cl.procs[stopped].Wait(), ShouldBeNil)
 		})
 	}
 }
 
-// archiv's node is paused while a note is stored through it, wakes after the
-// caller has given up, and later is killed after its target stored another
-// note. Each time the caller sends the same note again. The late one must
-// not be stored at all, the other not twice, and the caller of that one must
-// not be told that it was not stored.
-func TestPausedAndKilledNodeStoresNothingTwice(t *testing.T) {
-	f := newFleet(t)
-	freigabe, archiv, _ := f.startPair()
+// A paused node must not run a call whose deadline has passed when it resumes.
+// After a node was killed, a retry of a completed call must not run twice and
+// must not be reported as not run.
+func TestPausedOrKilledNodeRunsNoCallTwice(t *testing.T) {
+	cl := newCluster(t)
+	freigabe, archiv, _ := cl.startPair()
 	store := func(key call.Key, timeout string) string {
 		resp, _, err := do(http.MethodPost, "http://127.0.0.1:"+freigabe.http+"/v1/call/archiv/store_once",
 			call.HeaderKey, string(key), call.HeaderTimeout, timeout)
@@ -275,9 +268,9 @@
 		So(err, ShouldBeNil)
 		return strings.Count(body, string(key)+`":1`) + 2*strings.Count(body, string(key)+`":2`)
 	}
-	Convey("A call that waited in the paused node's socket stores nothing", t, func() {
+	Convey("A call that expired in the paused node's socket is not run", t, func() {
 		key := call.NewKey("halle-nord")
-		proc := f.procs["archiv-1"].Process
+		proc := cl.procs["archiv-1"].Process
 		So(proc.Signal(syscall.SIGSTOP), ShouldBeNil)
 		So(waitStopped(proc.Pid), ShouldBeTrue)
 		So(store(key, "500"), ShouldEqual, string(call.Unknown))
@@ -286,14 +279,14 @@
 		time.Sleep(300 * time.Millisecond)
 		So(stored(key), ShouldEqual, 0)
 	})
-	Convey("A note stored before the node was killed is not stored again", t, func() {
+	Convey("A call completed before the node was killed is not run again", t, func() {
 		key := call.NewKey("halle-nord")
 		So(store(key, "5000"), ShouldEqual, string(call.OK))
-		f.procs["archiv-1"].Process.Kill()
-		f.procs["archiv-1"].Wait()
-		f.startNode(archiv, f.platform)
-		So(f.waitStatus("http://127.0.0.1:"+archiv.http+"/readyz", http.StatusOK), ShouldBeTrue)
-		time.Sleep(time.Second) // archiv-1 is avoided for 1 s after a failed dial
+		cl.procs["archiv-1"].Process.Kill()
+		cl.procs["archiv-1"].Wait()
+		cl.startNode(archiv, cl.platform)
+		So(cl.waitStatus("http://127.0.0.1:"+archiv.http+"/readyz", http.StatusOK), ShouldBeTrue)
+		time.Sleep(time.Second) // archiv-1 is skipped for 1 s after a failed dial
 		So(store(key, "5000"), ShouldEqual, string(call.Unknown))
 		So(stored(key), ShouldEqual, 1)
 		next := call.NewKey("halle-nord")
@@ -302,12 +295,12 @@
 	})
 }
 
-// waitStopped waits up to 5 s until every thread of a process stands still.
-// On a busy machine the thread that a SIGSTOP was given to may have to wait
-// for a core, and the others run on until it had one.
+// waitStopped waits up to 5 s until every thread of a process is stopped. The
+// threads stop only after one of them was scheduled to handle SIGSTOP, which can
+// take a while on a busy machine.
 func waitStopped(pid int) bool {
 	for range 500 {
-		if stopped(pid) {
+		if allThreadsStopped(pid) {
 			return true
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -315,7 +308,7 @@
 	return false
 }
 
-func stopped(pid int) bool {
+func allThreadsStopped(pid int) bool {
 	stats, err := filepath.Glob("/proc/" + strconv.Itoa(pid) + "/task/*/stat")
 	if err != nil || len(stats) == 0 {
 		return false
@@ -330,8 +323,8 @@
 	return true
 }
 
-// waitStatus waits up to 5 s until a GET of url answers with code.
-func (*fleet) waitStatus(url string, code int) bool {
+// waitStatus waits up to 5 s until a GET of url returns code.
+func (*cluster) waitStatus(url string, code int) bool {
 	for range 100 {
 		if resp, _, err := get(url); err == nil && resp.StatusCode == code {
 			return true
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -20,8 +20,8 @@
 	"github.com/urfave/cli/v2"
 )
 
-// stopTimeout bounds a graceful stop after SIGTERM.
-const stopTimeout = 30 * time.Second
+// shutdownTimeout bounds a graceful shutdown after SIGTERM or SIGINT.
+const shutdownTimeout = 30 * time.Second
 
 var settingsFlag = &cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "INI settings file", Required: true}
 
@@ -53,12 +53,12 @@
 		if err := settings.Load(c.String("settings"), "target", &s); err != nil {
 			return err
 		}
-		g, err := readPlatformText(s.Platform)
+		g, err := fetchConfig(s.Platform)
 		if err != nil {
 			return err
 		}
 		if g.Services[s.Service] == nil {
-			return eris.Errorf("target: service %s is not in the text in force", s.Service)
+			return eris.Errorf("target: service %s is not in the current configuration", s.Service)
 		}
 		lg, closer, err := timeline.Open(s.Timeline, s.Service+"-target@"+s.HTTP)
 		if err != nil {
@@ -92,7 +92,7 @@
 		if s.Config != "" {
 			var err error
 			if text, err = os.ReadFile(s.Config); err != nil {
-				return eris.Wrap(err, "platform: first text")
+				return eris.Wrap(err, "platform: read initial configuration")
 			}
 		}
 		lg, closer, err := timeline.Open(s.Timeline, "platform")
@@ -112,8 +112,8 @@
 	},
 }
 
-// serveHTTP serves h on l until SIGTERM or SIGINT, then calls drain and
-// stops gracefully.
+// serveHTTP serves h on l until SIGTERM or SIGINT, then calls drain and shuts
+// down gracefully.
 func serveHTTP(l net.Listener, h http.Handler, drain func()) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	serve := func() error { return srv.Serve(l) }
@@ -123,9 +123,9 @@
 	})
 }
 
-// runUntilSignal runs serve until it fails, or until SIGTERM or SIGINT and
-// then until stop has returned. serve returns as soon as a stop begins;
-// ending the process then would cut the requests that stop waits for.
+// runUntilSignal runs serve until it fails or until SIGTERM or SIGINT, then
+// returns after stop has returned. It must not return with serve, which returns
+// as soon as stop begins, while stop still waits for requests in progress.
 func runUntilSignal(serve func() error, stop func(context.Context)) error {
 	sig := make(chan os.Signal, 1)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
@@ -136,21 +136,21 @@
 		return err
 	case <-sig:
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	stop(ctx)
 	return nil
 }
 
-// readPlatformText reads the text in force from the platform at base.
-func readPlatformText(base string) (*callgraph.Graph, error) {
+// fetchConfig fetches the current configuration from the platform at base.
+func fetchConfig(base string) (*callgraph.Graph, error) {
 	resp, err := http.Get(base + "/v1/config")
 	if err != nil {
-		return nil, eris.Wrap(err, "read text from platform")
+		return nil, eris.Wrap(err, "fetch configuration from platform")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("read text from platform: %s", resp.Status)
+		return nil, eris.Errorf("fetch configuration from platform: %s", resp.Status)
 	}
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -17,9 +17,9 @@
 	"github.com/urfave/cli/v2"
 )
 
-// bodyShare is the part of a process's memory that callers' bodies may take:
-// each is held once or twice more on its way.
-const bodyShare = 8
+// bodyMemoryDivisor limits request bodies to a fraction of the process's
+// memory, because each body is copied once or twice on its way.
+const bodyMemoryDivisor = 8
 
 var sidecarCommand = &cli.Command{
 	Name:  "sidecar",
@@ -50,7 +50,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go reloadOnHangup(ctx, path, s, n, lg)
+		go reloadOnSIGHUP(ctx, path, s, n, lg)
 		return runUntilSignal(n.Serve, n.Shutdown)
 	},
 }
@@ -61,25 +61,24 @@
 	return s, err
 }
 
-// loadPolicies reads the [policies] section, which may be missing.
+// loadPolicies loads the optional [policies] section.
 func loadPolicies(path string) (sidecar.Policies, error) {
 	p := sidecar.Usual()
 	err := settings.LoadOptional(path, "policies", &p)
 	return p, err
 }
 
-// tuning is the part of the settings that a reload puts in force.
+// tuning returns the settings that a reload applies.
 func tuning(s settings.Sidecar) sidecar.Tuning {
 	return sidecar.Tuning{
-		BodyBytes: int64(s.MemoryMB) << 20 / bodyShare,
+		BodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
 		Repeats:   budget.WindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, Slack: s.RepeatSlack},
 	}
 }
 
-// reloadOnHangup reads the settings again on each SIGHUP, without which the
-// signal would end the process. A bad file leaves those in force; addresses
-// and names need a restart, which is said.
-func reloadOnHangup(ctx context.Context, path string, s settings.Sidecar, n *sidecar.Node, lg log.Interface) {
+// reloadOnSIGHUP reloads the settings on each SIGHUP. An invalid file leaves the
+// current settings in effect; changes that need a restart are logged as such.
+func reloadOnSIGHUP(ctx context.Context, path string, s settings.Sidecar, n *sidecar.Node, lg log.Interface) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
@@ -97,13 +96,13 @@
 		if tuning(next) != tuning(s) {
 			n.Tune(tuning(next))
 		}
-		lg.WithField("needs_restart", !reflect.DeepEqual(fixed(next), fixed(s))).Info("settings_reloaded")
+		lg.WithField("needs_restart", !reflect.DeepEqual(withoutTuning(next), withoutTuning(s))).Info("settings_reloaded")
 		s = next
 	}
 }
 
-// fixed is the part of the settings that only a restart puts in force.
-func fixed(s settings.Sidecar) settings.Sidecar {
+// withoutTuning returns the settings that only a restart applies.
+func withoutTuning(s settings.Sidecar) settings.Sidecar {
 	s.MemoryMB, s.RepeatRatio, s.RepeatSlack, s.RepeatWindow = 0, 0, 0, 0
 	return s
 }
--- a/cmd/oatpin/tools.go
+++ b/cmd/oatpin/tools.go
@@ -23,7 +23,7 @@
 	},
 	Action: func(c *cli.Context) error {
 		if c.NArg() < 2 {
-			return cli.Exit("load: name a text and at least one service.operation", 2)
+			return cli.Exit("load: TEXT and at least one service.operation are required", 2)
 		}
 		text, err := os.ReadFile(c.Args().First())
 		if err != nil {
@@ -38,7 +38,7 @@
 			svc, op, _ := strings.Cut(a, ".")
 			ref := callgraph.Ref{Service: svc, Operation: op}
 			if g.Operation(ref) == nil {
-				return eris.Errorf("load: %s is not an operation of the text", a)
+				return eris.Errorf("load: %s is not an operation of the configuration", a)
 			}
 			entries = append(entries, ref)
 		}
