--- a/callgraph/graph.go
+++ b/callgraph/graph.go
@@ -89,8 +89,8 @@
 	return p.service, p.service.Instances[p.index], true
 }
 
-// index fills byName, because every entry call looks up an instance.
-func (g *Graph) index() {
+// indexInstances fills byName, because every entry call looks up an instance.
+func (g *Graph) indexInstances() {
 	g.byName = map[string]instancePos{}
 	for _, s := range g.Services {
 		for i, in := range s.Instances {
--- a/callgraph/parse.go
+++ b/callgraph/parse.go
@@ -43,7 +43,7 @@
 		slices.SortStableFunc(p.problems, func(a, b Problem) int { return a.Line - b.Line })
 		return nil, &TextError{Problems: p.problems}
 	}
-	g.index()
+	g.indexInstances()
 	return g, nil
 }
 
--- a/configservice/vms.go
+++ b/configservice/vms.go
@@ -45,7 +45,7 @@
 	if !ok {
 		return
 	}
-	end := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		list, next, changed := p.visibleVMs(after)
 		if _, mode, _ := p.view(); mode == ModeDown {
@@ -56,15 +56,15 @@
 			json.NewEncoder(w).Encode(list)
 			return
 		}
-		if !next.IsZero() && next.Before(end) {
+		if !next.IsZero() && next.Before(deadline) {
 			wait = time.Until(next)
 		} else {
-			wait = time.Until(end)
+			wait = time.Until(deadline)
 		}
 		select {
 		case <-changed:
 		case <-time.After(wait):
-			if !time.Now().Before(end) {
+			if !time.Now().Before(deadline) {
 				w.WriteHeader(http.StatusNotModified)
 				return
 			}
