--- a/target/doc.go
+++ b/target/doc.go
@@ -1,5 +1,5 @@
-// Package target is the stand-in back end: a service instance with a fixed
-// number of slots, a service time per operation, calls to its dependencies
-// through its local node, and switches to slow it down, pause it, drain it
-// or start it cold. It records each action it commits, for tests to check.
+// Package target implements a simulated back end: a service instance with a
+// fixed number of concurrency slots, a service time per operation, and calls
+// to its dependencies through its local node. It can be slowed down, paused,
+// drained or started cold, and it counts the non-idempotent actions it commits.
 package target
--- a/target/health.go
+++ b/target/health.go
@@ -8,31 +8,31 @@
 )
 
 type (
-	// Health is what GET /health answers.
+	// Health is the response body of GET /health.
 	Health struct {
 		InFlight int64 `json:"in_flight"`
 		Draining bool  `json:"draining"`
 	}
 
-	// lagging shows a value as it was up to lag ago, as health and load
-	// endpoints do.
-	lagging[T any] struct {
-		lag time.Duration
+	// cachedValue holds a value for ttl, to simulate health and load endpoints
+	// that report stale data.
+	cachedValue[T any] struct {
+		ttl time.Duration
 
-		mu    sync.Mutex
-		value T
-		taken time.Time
+		mu        sync.Mutex
+		value     T
+		refreshed time.Time
 	}
 )
 
-// get returns the value last taken, taking it anew if that was lag ago.
-func (l *lagging[T]) get(take func() T) T {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if now := time.Now(); l.taken.IsZero() || now.Sub(l.taken) >= l.lag {
-		l.value, l.taken = take(), now
+// get returns the cached value, calling load first if it is older than ttl.
+func (c *cachedValue[T]) get(load func() T) T {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if now := time.Now(); c.refreshed.IsZero() || now.Sub(c.refreshed) >= c.ttl {
+		c.value, c.refreshed = load(), now
 	}
-	return l.value
+	return c.value
 }
 
 func (t *Target) handleHealth(w http.ResponseWriter, _ *http.Request) {
--- a/target/target.go
+++ b/target/target.go
@@ -17,38 +17,40 @@
 	"golang.org/x/net/netutil"
 )
 
-// leaveGrace is how long a leaving target goes on refusing new calls.
-const leaveGrace = 2 * time.Second
+// drainPeriod is how long a leaving target keeps refusing new calls before its
+// listener may be closed.
+const drainPeriod = 2 * time.Second
 
 type (
-	// Config is what a Target is built from.
+	// Config configures a Target.
 	Config struct {
 		Service   string
 		Graph     *callgraph.Graph
-		Node      string        // base URL of the local node
-		ColdStart time.Duration // time after start during which work is three times slower
-		HealthLag time.Duration // how old GET /health's answer may be
-		Client    *http.Client
+		Node      string        // base URL of the local node, without a trailing slash
+		ColdStart time.Duration // period after start in which operations take three times as long
+		HealthLag time.Duration // maximum age of the state that GET /health reports
+		Client    *http.Client  // for calls to dependencies; nil for a default client
 	}
 
-	// Target is one running stand-in back end.
+	// Target is a simulated service instance. Its methods are safe for
+	// concurrent use.
 	Target struct {
 		cfg     Config
 		service *callgraph.Service
 		slots   chan struct{}
-		health  lagging[Health]
+		health  cachedValue[Health]
 		started time.Time
 		client  *http.Client
 
-		slow      atomic.Int64 // factor times 100
-		paused    atomic.Bool
-		draining  atomic.Bool
-		rejecting atomic.Bool
-		inflight  atomic.Int64
-		arrivals  atomic.Int64
+		slowdownPercent atomic.Int64 // service time, percent of normal
+		paused          atomic.Bool
+		draining        atomic.Bool
+		rejecting       atomic.Bool
+		inflight        atomic.Int64
+		arrivals        atomic.Int64
 
 		mu      sync.Mutex
-		effects map[call.Key]int // commits of non-idempotent actions by key
+		effects map[call.Key]int // number of commits of each non-idempotent action
 	}
 )
 
@@ -59,12 +61,13 @@
 	if t.client == nil {
 		t.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
-	t.health.lag = cfg.HealthLag
-	t.slow.Store(100)
+	t.health.ttl = cfg.HealthLag
+	t.slowdownPercent.Store(100)
 	return t
 }
 
-// Limit returns l held to the connections the text gives the service.
+// Limit wraps l so that it accepts at most the number of concurrent connections
+// configured for the service; it returns l itself if there is no limit.
 func (t *Target) Limit(l net.Listener) net.Listener {
 	if t.service.Connections <= 0 {
 		return l
@@ -72,10 +75,11 @@
 	return netutil.LimitListener(l, t.service.Connections)
 }
 
-// Handler returns the target's HTTP API.
+// Handler returns the handler of the target's operations, health check and admin
+// endpoints.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/{operation}", t.handleOp)
+	mux.HandleFunc("POST /v1/{operation}", t.handleOperation)
 	mux.HandleFunc("GET /health", t.handleHealth)
 	mux.HandleFunc("POST /admin/slow", func(w http.ResponseWriter, r *http.Request) {
 		f, _ := strconv.ParseFloat(r.URL.Query().Get("factor"), 64)
@@ -89,33 +93,35 @@
 	return mux
 }
 
-// SetSlow makes every operation take factor times its cost; 1 is normal.
+// SetSlow multiplies the service time of every operation by factor; a factor of
+// 0 or less resets it to 1.
 func (t *Target) SetSlow(factor float64) {
 	if factor <= 0 {
 		factor = 1
 	}
-	t.slow.Store(int64(factor * 100))
+	t.slowdownPercent.Store(int64(factor * 100))
 }
 
-// Drain makes the target refuse every new call as not run, asking callers
-// to come back in a second.
+// Drain makes the target refuse every new call as not run, with a Retry-After of
+// 1 s.
 func (t *Target) Drain() { t.draining.Store(true) }
 
-// Leave drains the target and returns when its node has had time to be told
-// so by a refusal: once the listener is closed it could only fail to dial.
+// Leave drains the target and waits for drainPeriod, so that the node learns of
+// it from a refusal instead of from failed dials once the listener is closed.
 func (t *Target) Leave() {
 	t.Drain()
-	time.Sleep(leaveGrace)
+	time.Sleep(drainPeriod)
 }
 
-// Reject makes the target refuse every new call as not run with no
-// come-back time, as a target that sheds without a hint does.
+// Reject makes the target refuse every new call as not run, without a
+// Retry-After header.
 func (t *Target) Reject() { t.rejecting.Store(true) }
 
-// Arrivals returns how many calls reached the target, refused ones included.
+// Arrivals returns the number of calls received, including refused ones.
 func (t *Target) Arrivals() int64 { return t.arrivals.Load() }
 
-// Effects returns how often each non-idempotent action was committed.
+// Effects returns the number of commits of each non-idempotent action, by
+// idempotency key. An action committed more than once has been duplicated.
 func (t *Target) Effects() map[call.Key]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -126,7 +132,7 @@
 	return out
 }
 
-func (t *Target) handleOp(w http.ResponseWriter, req *http.Request) {
+func (t *Target) handleOperation(w http.ResponseWriter, req *http.Request) {
 	t.arrivals.Add(1)
 	op := t.service.Operations[req.PathValue("operation")]
 	if op == nil {
@@ -159,37 +165,38 @@
 	defer func() { <-t.slots }()
 	t.inflight.Add(1)
 	defer t.inflight.Add(-1)
-	body, status, after := t.run(ctx, req.Header, r, op)
+	body, status, retryAfter := t.run(ctx, req.Header, r, op)
 	switch status {
 	case call.OK:
 		w.Write(body)
 	case call.NotRun:
-		notRun(w, string(body), after)
+		notRun(w, string(body), retryAfter)
 	default:
 		http.Error(w, string(body), http.StatusInternalServerError)
 	}
 }
 
-// run does the operation's work: its calls in order, then its own service
-// time, then the commit. It answers NotRun only while nothing has run, with
-// the come-back time its refused dependency gave.
-func (t *Target) run(ctx context.Context, h http.Header, r call.Request, op *callgraph.Operation) ([]byte, call.Status, string) {
+// run executes the operation: it calls the dependencies in order, waits for the
+// service time and commits. It returns NotRun, with the Retry-After value of the
+// dependency, only if the first dependency refused the call, as nothing has run
+// then.
+func (t *Target) run(ctx context.Context, header http.Header, r call.Request, op *callgraph.Operation) ([]byte, call.Status, string) {
 	for t.paused.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	var out bytes.Buffer
 	out.WriteString(t.cfg.Service + "." + op.Name + "(" + string(r.ID) + ")")
 	for i, ref := range op.Calls {
-		body, st, after := t.callDependency(ctx, h, ref, r, callNumber(op.Calls, i))
+		body, st, retryAfter := t.callDependency(ctx, header, ref, r, priorCalls(op.Calls, i))
 		if st != call.OK {
 			if i == 0 && st == call.NotRun {
-				return body, call.NotRun, after
+				return body, call.NotRun, retryAfter
 			}
 			return []byte(ref.String() + ": " + string(st)), call.Failed, ""
 		}
 		out.WriteString(" <" + string(body) + ">")
 	}
-	cost := time.Duration(float64(op.Cost) * float64(t.slow.Load()) / 100)
+	cost := time.Duration(float64(op.Cost) * float64(t.slowdownPercent.Load()) / 100)
 	if time.Since(t.started) < t.cfg.ColdStart {
 		cost *= 3
 	}
@@ -206,8 +213,8 @@
 	return out.Bytes(), call.OK, ""
 }
 
-// callNumber returns how many of calls before i name the same operation.
-func callNumber(calls []callgraph.Ref, i int) int {
+// priorCalls returns the number of calls before index i to the same operation.
+func priorCalls(calls []callgraph.Ref, i int) int {
 	n := 0
 	for _, c := range calls[:i] {
 		if c == calls[i] {
@@ -217,27 +224,27 @@
 	return n
 }
 
-// callDependency calls ref through the local node, passing on the request's
-// metadata; each sub-action gets its own key derived from the caller's, with
-// its number when the same operation is called again.
-func (t *Target) callDependency(ctx context.Context, h http.Header, ref callgraph.Ref, r call.Request, number int) ([]byte, call.Status, string) {
+// callDependency calls ref through the local node and propagates the request's
+// metadata. The idempotency key is derived from the caller's; occurrence tells
+// repeated calls to the same operation apart.
+func (t *Target) callDependency(ctx context.Context, header http.Header, ref callgraph.Ref, r call.Request, occurrence int) ([]byte, call.Status, string) {
 	url := t.cfg.Node + "/v1/call/" + ref.Service + "/" + ref.Operation
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return []byte(err.Error()), call.NotRun, ""
 	}
-	sub := r
+	depReq := r
 	if r.Key != "" {
-		sub.Key = r.Key + "/" + call.Key(ref.String())
-		if number > 0 {
-			sub.Key += call.Key("." + strconv.Itoa(number))
+		depReq.Key = r.Key + "/" + call.Key(ref.String())
+		if occurrence > 0 {
+			depReq.Key += call.Key("." + strconv.Itoa(occurrence))
 		}
 	}
 	if dl, ok := ctx.Deadline(); ok {
-		sub.Remaining = time.Until(dl)
+		depReq.Remaining = time.Until(dl)
 	}
-	call.WriteHeaders(req.Header, sub)
-	req.Header.Set(call.HeaderHop, h.Get(call.HeaderHop))
+	call.WriteHeaders(req.Header, depReq)
+	req.Header.Set(call.HeaderHop, header.Get(call.HeaderHop))
 	resp, err := t.client.Do(req)
 	if err != nil {
 		return []byte(err.Error()), call.Unknown, ""
@@ -247,13 +254,13 @@
 	return body, call.Status(resp.Header.Get(call.HeaderStatus)), resp.Header.Get("Retry-After")
 }
 
-// notRun refuses a call that ran nothing; after is the Retry-After value in
-// seconds, or empty for none.
-func notRun(w http.ResponseWriter, reason, after string) {
+// notRun refuses a call of which nothing has run. retryAfter is the Retry-After
+// value in seconds; if empty, the header is left out.
+func notRun(w http.ResponseWriter, reason, retryAfter string) {
 	w.Header().Set(call.HeaderStatus, string(call.NotRun))
 	w.Header().Set(call.HeaderReason, reason)
-	if after != "" {
-		w.Header().Set("Retry-After", after)
+	if retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -13,17 +13,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// small is a target with one slot and the given connections.
-func small(connections int, lag time.Duration) *Target {
+// newTestTarget returns a target with one slot and the given connection limit.
+func newTestTarget(connections int, healthLag time.Duration) *Target {
 	g := &callgraph.Graph{Services: map[string]*callgraph.Service{"archiv": {Slots: 1, Connections: connections}}}
-	return New(Config{Service: "archiv", Graph: g, HealthLag: lag})
+	return New(Config{Service: "archiv", Graph: g, HealthLag: healthLag})
 }
 
-// A target drains, but its health endpoint still shows the load of a moment
-// ago: whoever trusts it sends work to a target that is leaving.
-func TestHealthLags(t *testing.T) {
+// Guards the simulated staleness of the health endpoint: a drain must not be
+// visible there before the configured lag has passed.
+func TestHealthIsStaleWithinLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tg := small(1, 2*time.Second)
+		tg := newTestTarget(1, 2*time.Second)
 		draining := func() bool {
 			w := httptest.NewRecorder()
 			tg.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/health", nil))
@@ -31,7 +31,7 @@
 			json.Unmarshal(w.Body.Bytes(), &h)
 			return h.Draining
 		}
-		Convey("A drain shows only once the lag has passed", t, func() {
+		Convey("A drain is reported only after the health lag", t, func() {
 			So(draining(), ShouldBeFalse)
 			tg.Drain()
 			time.Sleep(time.Second)
@@ -42,11 +42,11 @@
 	})
 }
 
-// A target holds no more connections than the text gives it: one more is
-// not served until another closes.
-func TestConnectionsAreLimited(t *testing.T) {
-	Convey("The second connection waits for the first to close", t, func() {
-		tg := small(1, 0)
+// Guards against serving more concurrent connections than configured: a further
+// one is served only after another has closed.
+func TestConnectionLimit(t *testing.T) {
+	Convey("The second connection is served only after the first closes", t, func() {
+		tg := newTestTarget(1, 0)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		srv := &http.Server{Handler: tg.Handler()}
@@ -54,7 +54,7 @@
 		defer srv.Close()
 		first, err := net.Dial("tcp", l.Addr().String())
 		So(err, ShouldBeNil)
-		time.Sleep(50 * time.Millisecond) // accepted
+		time.Sleep(50 * time.Millisecond) // wait for the server to accept it
 		client := &http.Client{Timeout: 200 * time.Millisecond}
 		_, err = client.Get("http://" + l.Addr().String() + "/health")
 		So(err, ShouldNotBeNil)
