--- a/load/doc.go
+++ b/load/doc.go
@@ -1,5 +1,4 @@
-// Package load is the load and experiment tool: an open-loop generator of a
-// deployment's request mix, with clients that retry hard, and a report of
-// goodput in whole requests, refusals by class, latency percentiles and
-// recovery time after an overload ends.
+// Package load implements an open-loop load generator whose clients retry
+// immediately, and a report of goodput, refusals by class, latency percentiles
+// and recovery time after an overload.
 package load
--- a/load/load.go
+++ b/load/load.go
@@ -15,43 +15,45 @@
 	"github.com/oatpin/oatpin/callgraph"
 )
 
-// maxInFlight bounds the requests open at once, so a run stays bounded
-// however slow the mesh gets.
+// maxInFlight bounds the number of concurrent requests, and with it the memory
+// and connections of a run against a slow mesh. Requests beyond it are not sent
+// and count as refused.
 const maxInFlight = 4096
 
 type (
-	// Config is what a Run is built from.
+	// Config configures a Run.
 	Config struct {
 		Graph   *callgraph.Graph
-		Entries []callgraph.Ref // operations callers send, picked evenly
-		Rate    float64         // requests a second, sent on time whatever the answers
-		// RateAt, if not nil, gives the rate at each moment of the run
-		// instead of Rate.
+		Entries []callgraph.Ref // operations to call, in round-robin order
+		Rate    float64         // requests per second; open loop, independent of responses
+		// RateAt, if not nil, replaces Rate by a rate that depends on the time
+		// since the start of the run.
 		RateAt   func(elapsed time.Duration) float64
 		Duration time.Duration
-		Retries  int // client retries after a refusal or error, sent at once
-		Client   *http.Client
+		Retries  int          // retries per request on NotRun and Unknown, without backoff
+		Client   *http.Client // nil for a default client
 	}
 
-	// ClassReport counts the requests of one class.
+	// ClassReport holds the request counts of one class.
 	ClassReport struct {
 		Sent      int64
-		Completed int64 // whole answers
-		Refused   int64 // not run, after the client's retries
-		Failed    int64 // failed or unknown
-		Attempts  int64 // HTTP calls, client retries included
+		Completed int64 // responses with status OK
+		Refused   int64 // not run after all retries, or not sent because of maxInFlight
+		Failed    int64 // status Failed or Unknown
+		Attempts  int64 // HTTP requests, including retries
 	}
 
-	// Report is the outcome of one Run.
+	// Report is the result of a Run.
 	Report struct {
 		Duration time.Duration
 		Classes  map[call.Class]*ClassReport
-		Latency  *hdrhistogram.Histogram // microseconds, completed requests
-		PerSec   []int64                 // completed requests in each second
+		Latency  *hdrhistogram.Histogram // of completed requests, in microseconds
+		PerSec   []int64                 // completed requests in each second of the run
 	}
 )
 
-// Run sends load for cfg.Duration and returns the report.
+// Run sends requests for cfg.Duration, or until ctx is done, and waits for those
+// in flight.
 func Run(ctx context.Context, cfg Config) *Report {
 	rep := &Report{Duration: cfg.Duration, Classes: map[call.Class]*ClassReport{
 		call.Critical: {}, call.Sheddable: {},
@@ -60,49 +62,49 @@
 	if client == nil {
 		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	}
-	var mu sync.Mutex // guards rep.Latency
+	var mu sync.Mutex // guards rep.Latency and rep.PerSec
 	var wg sync.WaitGroup
-	var open atomic.Int64
+	var inFlight atomic.Int64
 	start := time.Now()
 	rate := cfg.RateAt
 	if rate == nil {
 		rate = func(time.Duration) float64 { return cfg.Rate }
 	}
-	at := start
+	next := start
 	for i := 0; ; i++ {
-		at = at.Add(time.Duration(float64(time.Second) / rate(at.Sub(start))))
-		if at.Sub(start) >= cfg.Duration || ctx.Err() != nil {
+		next = next.Add(time.Duration(float64(time.Second) / rate(next.Sub(start))))
+		if next.Sub(start) >= cfg.Duration || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(time.Until(at))
+		time.Sleep(time.Until(next))
 		ref := cfg.Entries[i%len(cfg.Entries)]
 		op := cfg.Graph.Operation(ref)
-		cr := rep.Classes[op.Class]
-		atomic.AddInt64(&cr.Sent, 1)
-		if open.Load() >= maxInFlight {
-			atomic.AddInt64(&cr.Refused, 1)
+		counts := rep.Classes[op.Class]
+		atomic.AddInt64(&counts.Sent, 1)
+		if inFlight.Load() >= maxInFlight {
+			atomic.AddInt64(&counts.Refused, 1)
 			continue
 		}
-		open.Add(1)
+		inFlight.Add(1)
 		wg.Add(1)
-		go func(seq int) {
+		go func(n int) {
 			defer wg.Done()
-			defer open.Add(-1)
-			t0 := time.Now()
-			st := send(ctx, client, cfg, ref, fmt.Sprintf("load-%d", seq), cr)
-			switch st {
+			defer inFlight.Add(-1)
+			sent := time.Now()
+			status := send(ctx, client, cfg, ref, fmt.Sprintf("load-%d", n), counts)
+			switch status {
 			case call.OK:
-				atomic.AddInt64(&cr.Completed, 1)
+				atomic.AddInt64(&counts.Completed, 1)
 				mu.Lock()
-				rep.Latency.RecordValue(time.Since(t0).Microseconds())
+				rep.Latency.RecordValue(time.Since(sent).Microseconds())
 				if s := int(time.Since(start) / time.Second); s < len(rep.PerSec) {
 					rep.PerSec[s]++
 				}
 				mu.Unlock()
 			case call.NotRun:
-				atomic.AddInt64(&cr.Refused, 1)
+				atomic.AddInt64(&counts.Refused, 1)
 			default:
-				atomic.AddInt64(&cr.Failed, 1)
+				atomic.AddInt64(&counts.Failed, 1)
 			}
 		}(i)
 	}
@@ -110,27 +112,29 @@
 	return rep
 }
 
-// send makes one request, retrying at once on anything but a whole answer,
-// as the users' hard-retrying clients do. Every try goes to another random
-// instance and carries the same request id and idempotency key.
-func send(ctx context.Context, client *http.Client, cfg Config, ref callgraph.Ref, id string, cr *ClassReport) call.Status {
-	var st call.Status
-	ins := cfg.Graph.Services[ref.Service].Instances
-	in := ins[rand.IntN(len(ins))]
-	key := call.NewKey(string(in.DC))
+// send makes one request and retries it without backoff on NotRun and Unknown.
+// Each try goes to a random instance with the same request ID and idempotency
+// key.
+func send(ctx context.Context, client *http.Client, cfg Config, ref callgraph.Ref, id string, counts *ClassReport) call.Status {
+	var status call.Status
+	instances := cfg.Graph.Services[ref.Service].Instances
+	instance := instances[rand.IntN(len(instances))]
+	key := call.NewKey(string(instance.DC))
 	for try := 0; try <= cfg.Retries; try++ {
-		atomic.AddInt64(&cr.Attempts, 1)
-		st = attempt(ctx, client, in, ref, id, key)
-		in = ins[rand.IntN(len(ins))]
-		if st == call.OK || st == call.Failed {
-			return st
+		atomic.AddInt64(&counts.Attempts, 1)
+		status = attempt(ctx, client, instance, ref, id, key)
+		instance = instances[rand.IntN(len(instances))]
+		if status == call.OK || status == call.Failed {
+			return status
 		}
 	}
-	return st
+	return status
 }
 
-func attempt(ctx context.Context, client *http.Client, in callgraph.Instance, ref callgraph.Ref, id string, key call.Key) call.Status {
-	url := "http://" + in.HTTP + "/v1/call/" + ref.Service + "/" + ref.Operation
+// attempt makes one HTTP request. Transport errors and responses without a
+// status header count as Unknown.
+func attempt(ctx context.Context, client *http.Client, instance callgraph.Instance, ref callgraph.Ref, id string, key call.Key) call.Status {
+	url := "http://" + instance.HTTP + "/v1/call/" + ref.Service + "/" + ref.Operation
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return call.NotRun
@@ -143,13 +147,13 @@
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	if st := call.Status(resp.Header.Get(call.HeaderStatus)); st != "" {
-		return st
+	if status := call.Status(resp.Header.Get(call.HeaderStatus)); status != "" {
+		return status
 	}
 	return call.Unknown
 }
 
-// Goodput returns whole requests completed a second over the run.
+// Goodput returns the completed requests per second over the whole run.
 func (r *Report) Goodput() float64 {
 	var n int64
 	for _, c := range r.Classes {
@@ -158,7 +162,7 @@
 	return float64(n) / r.Duration.Seconds()
 }
 
-// Print writes the report as a table.
+// Print writes the report to w as a table.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "goodput %.1f whole requests/s over %s\n", r.Goodput(), r.Duration)
 	fmt.Fprintf(w, "%-10s %8s %10s %8s %8s %9s\n", "class", "sent", "completed", "refused", "failed", "attempts")
@@ -170,27 +174,28 @@
 		r.LatencyAt(50), r.LatencyAt(99), r.LatencyAt(100))
 }
 
-// LatencyAt returns the latency of completed requests at a percentile, 0 to
-// 100.
+// LatencyAt returns the given percentile (0 to 100) of the latency of completed
+// requests.
 func (r *Report) LatencyAt(percentile float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// RecoveryAgainst returns how long after second from the per-second
-// goodput first came back to within 10% of its mean over seconds 1 to warm
-// (second 0 is partly ramp-up), or -1 if it never did.
-func (r *Report) RecoveryAgainst(warm, from int) time.Duration {
-	if warm <= 1 || from >= len(r.PerSec) {
+// RecoveryAgainst returns the time from overloadEnd, in seconds since the start
+// of the run, until the per-second goodput reaches 90% of the baseline, or -1 if
+// it never does. The baseline is the mean from second 1, to leave out the
+// ramp-up in second 0, up to but not including second baselineEnd.
+func (r *Report) RecoveryAgainst(baselineEnd, overloadEnd int) time.Duration {
+	if baselineEnd <= 1 || overloadEnd >= len(r.PerSec) {
 		return -1
 	}
 	var sum int64
-	for _, v := range r.PerSec[1:warm] {
-		sum += v
+	for _, completed := range r.PerSec[1:baselineEnd] {
+		sum += completed
 	}
-	base := float64(sum) / float64(warm-1)
-	for s := from; s < len(r.PerSec)-1; s++ {
-		if float64(r.PerSec[s]) >= 0.9*base {
-			return time.Duration(s-from) * time.Second
+	baseline := float64(sum) / float64(baselineEnd-1)
+	for s := overloadEnd; s < len(r.PerSec)-1; s++ {
+		if float64(r.PerSec[s]) >= 0.9*baseline {
+			return time.Duration(s-overloadEnd) * time.Second
 		}
 	}
 	return -1
