--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,4 +1,4 @@
-// Package demo runs a whole deployment inside one process on loopback: the
-// platform stand-in, and for each instance of the text a stand-in target
-// and its node, each a separate server on its own ports.
+// Package demo runs a whole deployment in one process on loopback: a simulated
+// platform and, for each configured instance, a simulated target and its node,
+// each a separate server with its own ports.
 package demo
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -15,70 +15,70 @@
 	"github.com/rotisserie/eris"
 )
 
-// startTimeout bounds the wait for all nodes of a mesh to be ready.
+// startTimeout bounds the wait for all nodes of a mesh to become ready.
 const startTimeout = 10 * time.Second
 
 type (
-	// Config is what a Mesh is built from.
+	// Config configures a Mesh.
 	Config struct {
-		Text     []byte
-		Platform string // host:port of the platform stand-in; port 0 for any
-		// AnyPort moves every instance to fresh loopback ports, rewriting
-		// the text, so that meshes started side by side (tests) never
-		// collide.
+		Text     []byte // configuration of the deployment, in INI format
+		Platform string // host:port to listen on for the simulated platform; port 0 for any
+		// AnyPort replaces the configured addresses of every instance by free
+		// loopback ports, so that several meshes can run at the same time.
 		AnyPort bool
-		// Dial opens connections from one instance's node to others; nil for
-		// TCP. Failure tests cut instances off with it.
+		// Dial opens connections from one instance's node to other nodes; nil
+		// for TCP. Tests use it to inject network failures.
 		Dial func(ctx context.Context, from callgraph.Instance, addr string) (net.Conn, error)
-		// Baseline runs every node as the naive baseline (node.Config.Baseline).
+		// Baseline sets node.Config.Baseline for every node.
 		Baseline bool
 		Log      log.Interface
 	}
 
-	// Mesh is one running deployment.
+	// Mesh is a running deployment.
 	Mesh struct {
 		Graph    *callgraph.Graph
 		Platform *configservice.Platform
 		Nodes    map[string]*node.Node
 		Targets  map[string]*target.Target
-		// PlatformURL is the base URL of the platform stand-in.
+		// PlatformURL is the base URL of the simulated platform.
 		PlatformURL string
 		servers     []*http.Server
 		targetURLs  map[string]string
 	}
 )
 
-// Start starts the platform, every target and every node of cfg.Text.
+// Start starts the platform and every target and node of cfg.Text, and waits
+// until all nodes are ready. On an error, it stops what it has started.
 func Start(cfg Config) (*Mesh, error) {
 	if cfg.Log == nil {
 		cfg.Log = log.Log
 	}
-	text, bound, err := bind(cfg)
+	text, listeners, err := listenNodes(cfg)
 	if err != nil {
 		return nil, err
 	}
 	g, err := callgraph.Parse(text)
 	if err != nil {
-		closeBound(bound)
+		closeListeners(listeners)
 		return nil, err
 	}
 	m := &Mesh{Graph: g, Nodes: map[string]*node.Node{}, Targets: map[string]*target.Target{}, targetURLs: map[string]string{}}
 	m.Platform, err = configservice.New(configservice.Config{Text: text, Log: cfg.Log.WithField("process", "platform")})
 	if err == nil {
-		var paddr string
-		paddr, err = m.listen(cfg.Platform, m.Platform.Handler())
-		m.PlatformURL = "http://" + paddr
+		var platformAddr string
+		platformAddr, err = m.listenAndServe(cfg.Platform, m.Platform.Handler())
+		m.PlatformURL = "http://" + platformAddr
 	}
 	if err != nil {
-		closeBound(bound)
+		closeListeners(listeners)
 		return nil, err
 	}
 	for _, name := range g.Names() {
 		for _, in := range g.Services[name].Instances {
-			pair := bound[in.Name]
-			delete(bound, in.Name)
+			pair := listeners[in.Name]
+			delete(listeners, in.Name)
 			if err := m.startInstance(cfg, name, in, pair); err != nil {
-				closeBound(bound)
+				closeListeners(listeners)
 				m.Stop(context.Background())
 				return nil, err
 			}
@@ -91,7 +91,8 @@
 	return m, nil
 }
 
-// waitReady waits until every node can serve every call.
+// waitReady waits until every node is ready, or returns an error after
+// startTimeout.
 func (m *Mesh) waitReady() error {
 	deadline := time.Now().Add(startTimeout)
 	for name, n := range m.Nodes {
@@ -105,47 +106,49 @@
 	return nil
 }
 
-// bind opens every node's listeners before any target takes a port of its
-// own: a target on port 0 could otherwise be handed a port the text names
-// for a node that has not started yet.
-func bind(cfg Config) ([]byte, map[string][2]net.Listener, error) {
+// listenNodes opens the listeners of all nodes before any target listens:
+// otherwise, the kernel could assign a target a port that is configured for a
+// node that has not started yet. It returns the configuration in use, which
+// differs from cfg.Text with cfg.AnyPort, and the HTTP and peer listeners by
+// instance name.
+func listenNodes(cfg Config) ([]byte, map[string][2]net.Listener, error) {
 	if cfg.AnyPort {
-		return relocate(cfg.Text)
+		return assignPorts(cfg.Text)
 	}
 	g, err := callgraph.Parse(cfg.Text)
 	if err != nil {
 		return nil, nil, err
 	}
-	bound := map[string][2]net.Listener{}
+	listeners := map[string][2]net.Listener{}
 	for _, name := range g.Names() {
 		for _, in := range g.Services[name].Instances {
 			var pair [2]net.Listener
 			for i, addr := range []string{in.HTTP, in.Peer} {
 				if pair[i], err = net.Listen("tcp", addr); err != nil {
-					closeBound(bound)
-					closeBound(map[string][2]net.Listener{"": pair})
+					closeListeners(listeners)
+					closeListeners(map[string][2]net.Listener{"": pair})
 					return nil, nil, eris.Wrapf(err, "listen %s", addr)
 				}
 			}
-			bound[in.Name] = pair
+			listeners[in.Name] = pair
 		}
 	}
-	return cfg.Text, bound, nil
+	return cfg.Text, listeners, nil
 }
 
-// startInstance starts the stand-in target of one instance on any free
-// loopback port, then its node on the addresses the text gives.
-func (m *Mesh) startInstance(cfg Config, service string, in callgraph.Instance, ls [2]net.Listener) error {
+// startInstance starts the simulated target of an instance on a free loopback
+// port, then its node on the HTTP and peer listeners.
+func (m *Mesh) startInstance(cfg Config, service string, in callgraph.Instance, listeners [2]net.Listener) error {
 	t := target.New(target.Config{Service: service, Graph: m.Graph, Node: "http://" + in.HTTP})
-	tl, err := net.Listen("tcp", "127.0.0.1:0")
+	targetListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		ls[0].Close()
-		ls[1].Close()
-		return eris.Wrap(err, "listen for a target")
+		listeners[0].Close()
+		listeners[1].Close()
+		return eris.Wrap(err, "listen on a loopback port for a target")
 	}
-	taddr := m.serve(t.Limit(tl), t.Handler())
+	targetAddr := m.serve(t.Limit(targetListener), t.Handler())
 	m.Targets[in.Name] = t
-	m.targetURLs[in.Name] = "http://" + taddr
+	m.targetURLs[in.Name] = "http://" + targetAddr
 	var dial func(context.Context, string) (net.Conn, error)
 	if cfg.Dial != nil {
 		dial = func(ctx context.Context, addr string) (net.Conn, error) { return cfg.Dial(ctx, in, addr) }
@@ -153,18 +156,18 @@
 	n := node.New(node.Config{
 		Dial: dial,
 		Settings: settings.Node{Instance: in.Name, DC: in.DC, HTTP: in.HTTP, Peer: in.Peer,
-			Target: "http://" + taddr, Platform: m.PlatformURL},
+			Target: "http://" + targetAddr, Platform: m.PlatformURL},
 		Graph:    m.Graph,
 		Log:      cfg.Log.WithField("process", in.Name),
 		Baseline: cfg.Baseline,
 	})
-	go n.ServeOn(ls[0], ls[1])
+	go n.ServeOn(listeners[0], listeners[1])
 	m.Nodes[in.Name] = n
 	return nil
 }
 
-// listen serves h on addr and returns the address bound.
-func (m *Mesh) listen(addr string, h http.Handler) (string, error) {
+// listenAndServe serves h on addr and returns the address of the listener.
+func (m *Mesh) listenAndServe(addr string, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", eris.Wrapf(err, "listen %s", addr)
@@ -172,7 +175,7 @@
 	return m.serve(l, h), nil
 }
 
-// serve serves h on l and returns l's address.
+// serve serves h on l in the background and returns the address of l.
 func (m *Mesh) serve(l net.Listener, h http.Handler) string {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second}
 	m.servers = append(m.servers, s)
@@ -180,7 +183,8 @@
 	return l.Addr().String()
 }
 
-// Versions returns the text version in force at each node, by instance.
+// Versions returns the configuration version that each node uses, by instance
+// name; nodes without a configuration are left out.
 func (m *Mesh) Versions() map[string]callgraph.Version {
 	out := make(map[string]callgraph.Version, len(m.Nodes))
 	for name, n := range m.Nodes {
@@ -191,10 +195,11 @@
 	return out
 }
 
-// TargetURL returns the base URL of an instance's stand-in target.
+// TargetURL returns the base URL of the simulated target of an instance, or an
+// empty string if there is no such instance.
 func (m *Mesh) TargetURL(instance string) string { return m.targetURLs[instance] }
 
-// Stop shuts every node down gracefully, then the targets and platform.
+// Stop shuts down all nodes gracefully, then the targets and the platform.
 func (m *Mesh) Stop(ctx context.Context) {
 	done := make(chan struct{}, len(m.Nodes))
 	for _, n := range m.Nodes {
--- a/demo/slowdown.go
+++ b/demo/slowdown.go
@@ -9,29 +9,29 @@
 	"github.com/oatpin/oatpin/load"
 )
 
-// Slowdown is the experiment of the deepest service slowing down under a
-// surge of demand with hard-retrying clients, then recovering.
+// Slowdown is an experiment in which the last service of a call chain slows down
+// during a demand surge from clients that retry without backoff, then recovers.
 type Slowdown struct {
 	Mesh    Config
-	Entries []callgraph.Ref
-	Deepest string        // service whose targets slow down
-	Factor  float64       // how much slower, 5 for a fifth of its speed
-	Rate    float64       // requests a second outside the surge
-	Surge   float64       // demand during the slowdown, times Rate
-	Warm    time.Duration // before the slowdown
-	Slow    time.Duration // the slowdown
-	After   time.Duration // after it, to see recovery
-	Retries int           // client retries, sent at once
+	Entries []callgraph.Ref // operations to call, in round-robin order
+	Deepest string          // name of the service whose targets slow down
+	Factor  float64         // service time during the slowdown, as a multiple of the normal one
+	Rate    float64         // requests per second outside the surge
+	Surge   float64         // demand during the slowdown, as a multiple of Rate
+	Warm    time.Duration   // warm-up before the slowdown
+	Slow    time.Duration   // duration of the slowdown
+	After   time.Duration   // observation period after the slowdown
+	Retries int             // retries per request, without backoff
 }
 
-// Result is what one run of Slowdown measured.
+// Result holds the measurements of one run of a Slowdown.
 type Result struct {
-	Report   *load.Report  // PerSec starts at the beginning of Warm
-	Arrivals int64         // calls that reached any target, retries included
-	Recovery time.Duration // from the end of the slowdown to goodput back within 10%; -1 if never
+	Report   *load.Report  // covers the run from the start of Warm
+	Arrivals int64         // calls received by all targets, including retries
+	Recovery time.Duration // from the end of the slowdown until goodput reaches 90% of the baseline; -1 if never
 }
 
-// Run runs the experiment once.
+// Run starts a mesh on free ports, runs the experiment once and stops the mesh.
 func (s Slowdown) Run(ctx context.Context) (Result, error) {
 	cfg := s.Mesh
 	cfg.AnyPort = true
@@ -45,7 +45,7 @@
 		m.Stop(stop)
 	}()
 	total := s.Warm + s.Slow + s.After
-	go s.fault(ctx, m)
+	go s.injectSlowdown(ctx, m)
 	rep := load.Run(ctx, load.Config{
 		Graph: m.Graph, Entries: s.Entries, Duration: total, Retries: s.Retries,
 		RateAt: func(t time.Duration) float64 {
@@ -62,12 +62,12 @@
 	return res, nil
 }
 
-// fault slows the deepest service's targets for the slowdown window.
-func (s Slowdown) fault(ctx context.Context, m *Mesh) {
-	set := func(f float64) {
+// injectSlowdown slows down the targets of s.Deepest during the slowdown.
+func (s Slowdown) injectSlowdown(ctx context.Context, m *Mesh) {
+	setSlow := func(factor float64) {
 		for name, t := range m.Targets {
 			if strings.HasPrefix(name, s.Deepest+"-") {
-				t.SetSlow(f)
+				t.SetSlow(factor)
 			}
 		}
 	}
@@ -76,10 +76,10 @@
 	case <-ctx.Done():
 		return
 	}
-	set(s.Factor)
+	setSlow(s.Factor)
 	select {
 	case <-time.After(s.Slow):
 	case <-ctx.Done():
 	}
-	set(1)
+	setSlow(1)
 }
