--- a/examples/doc.go
+++ b/examples/doc.go
@@ -1,4 +1,4 @@
-// Package examples holds the configuration texts of the two deployments
-// oatpin serves, Kessler & Raab and the Maracas co-operative, embedded so
-// that the demo runs without files.
+// Package examples embeds example configurations in INI format: the deployments
+// of Kessler & Raab and of the Maracas co-operative, and a call chain for the
+// slowdown experiment.
 package examples
--- a/examples/embed.go
+++ b/examples/embed.go
@@ -5,15 +5,15 @@
 )
 
 var (
-	// KesslerRaab is the call graph of entwurf, freigabe, archiv and versand.
+	// KesslerRaab configures the services entwurf, freigabe, archiv and versand.
 	//go:embed kessler-raab.ini
 	KesslerRaab []byte
 
-	// Maracas is the call graph of cache-pages, trackables, logbook and rankings.
+	// Maracas configures the services cache-pages, trackables, logbook and rankings.
 	//go:embed maracas.ini
 	Maracas []byte
 
-	// Slowdown is a three-service chain whose deepest service has few
+	// Slowdown configures a chain of three services, the last of which has few
 	// slots, for the slowdown experiment.
 	//go:embed slowdown.ini
 	Slowdown []byte
