--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -17,63 +17,63 @@
 )
 
 const (
-	perNode      = 2 // callers at each node
-	maxInstances = 2 // to which a read may be sent
-	// patience is how long a caller waits, beyond every route's timeout.
-	patience = 4 * time.Second
-	// between requests of one caller.
+	callersPerNode = 2 // number of callers at each node
+	maxInstances   = 2 // maximum number of instances that a read is sent to
+	// requestTimeout exceeds the timeout of every route.
+	requestTimeout = 4 * time.Second
+	// thinkTime is the pause between requests of one caller.
 	thinkTime = 15 * time.Millisecond
 )
 
 type (
-	// callers send requests to every node and keep what they saw.
+	// callers sends requests to every node and records the outcomes.
 	callers struct {
-		d    *deployment
-		ctx  context.Context
-		end  context.CancelFunc
-		wg   sync.WaitGroup
-		next atomic.Int64
+		d      *deployment
+		ctx    context.Context
+		cancel context.CancelFunc
+		wg     sync.WaitGroup
+		lastID atomic.Int64
 
-		mu   sync.Mutex
-		seen []outcome
+		mu      sync.Mutex
+		results []outcome
 	}
 
-	// outcome is what a caller saw of one request.
+	// outcome is the result of one request as observed by its caller.
 	outcome struct {
 		id         string
 		vm         *vm
 		read       bool
 		sent, done time.Time
-		code       int    // 0 if no whole answer came
-		err        error  // why
-		wrong      string // what is wrong with the answer itself
+		status     int    // HTTP status, 0 without a complete response
+		err        error  // why there was no complete response
+		invalid    string // why the response is invalid, or empty
 	}
 
-	// spans are times in which something was on.
-	spans struct {
-		mu  sync.Mutex
-		all [][2]time.Time
+	// intervals records the time intervals in which a condition held.
+	intervals struct {
+		mu   sync.Mutex
+		list [][2]time.Time
 	}
 )
 
-func (s *spans) begin() {
+func (s *intervals) start() {
 	s.mu.Lock()
-	s.all = append(s.all, [2]time.Time{time.Now()})
+	s.list = append(s.list, [2]time.Time{time.Now()})
 	s.mu.Unlock()
 }
 
-func (s *spans) end() {
+func (s *intervals) finish() {
 	s.mu.Lock()
-	s.all[len(s.all)-1][1] = time.Now()
+	s.list[len(s.list)-1][1] = time.Now()
 	s.mu.Unlock()
 }
 
-// touches reports whether a span lies in a time.
-func (s *spans) touches(from, to time.Time) bool {
+// overlaps reports whether an interval overlaps the time between from and to.
+func (s *intervals) overlaps(from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.all {
-		if x[0].Before(to) && (x[1].IsZero() || x[1].After(from)) {
+	for _, iv := range s.list {
+		if iv[0].Before(to) && (iv[1].IsZero() || iv[1].After(from)) {
 			return true
 		}
 	}
@@ -82,58 +82,57 @@
 
 func startCallers(d *deployment, seed uint64) *callers {
 	c := &callers{d: d}
-	c.ctx, c.end = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	for i, v := range d.vms {
-		for j := range perNode {
-			r := rand.New(rand.NewPCG(seed, uint64(1+i*perNode+j)))
-			c.wg.Go(func() { c.call(v, r) })
+		for j := range callersPerNode {
+			r := rand.New(rand.NewPCG(seed, uint64(1+i*callersPerNode+j)))
+			c.wg.Go(func() { c.run(v, r) })
 		}
 	}
 	return c
 }
 
-// call sends requests to one node, on a connection that is kept until it
-// breaks.
-func (c *callers) call(v *vm, r *rand.Rand) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}, Timeout: patience}
+// run sends requests to one node until the callers are stopped, with keep-alive.
+func (c *callers) run(v *vm, r *rand.Rand) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}, Timeout: requestTimeout}
 	for c.ctx.Err() == nil {
 		o := c.send(client, v, r.IntN(2) == 0)
 		c.mu.Lock()
-		c.seen = append(c.seen, o)
+		c.results = append(c.results, o)
 		c.mu.Unlock()
 		time.Sleep(thinkTime)
 	}
 	client.CloseIdleConnections()
 }
 
-// sendFatal sends the request that ends the targets which run it; what its
-// caller gets is of no interest.
-func (c *callers) sendFatal(v *vm) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.d.callersAddr(v)+"/read/", strings.NewReader(fatalBody))
+// sendPoison sends a request that crashes every target that executes it, and
+// ignores the response.
+func (c *callers) sendPoison(v *vm) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: requestTimeout}
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.d.callerAddr(v)+"/read/", strings.NewReader(poisonBody))
 	if err != nil {
 		c.d.t.Error(err)
 		return
 	}
 	req.Host = "h"
-	req.Header.Set(platform.Headers.RequestID, fmt.Sprintf("f%d", c.next.Add(1)))
+	req.Header.Set(platform.Headers.RequestID, fmt.Sprintf("f%d", c.lastID.Add(1)))
 	req.Header.Set(platform.Headers.Deadline, "1500")
 	if resp, err := client.Do(req); err == nil {
 		resp.Body.Close()
 	}
 }
 
-// send sends one request. All are POST, reads too: net/http sends no POST
-// again by itself once it has written any of it.
+// send sends one request. Reads are POST requests too, because net/http does not
+// retry a POST on its own once it has written part of it.
 func (c *callers) send(client *http.Client, v *vm, read bool) (o outcome) {
-	n := c.next.Add(1)
-	o = outcome{id: fmt.Sprintf("r%d", n), vm: v, read: read, sent: time.Now()}
+	seq := c.lastID.Add(1)
+	o = outcome{id: fmt.Sprintf("r%d", seq), vm: v, read: read, sent: time.Now()}
 	defer func() { o.done = time.Now() }()
-	path, body := "/publish/", fmt.Sprintf("note %d", n)
+	path, body := "/publish/", fmt.Sprintf("note %d", seq)
 	if read {
 		path = "/read/"
 	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.d.callersAddr(v)+path, strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.d.callerAddr(v)+path, strings.NewReader(body))
 	if err != nil {
 		o.err = err
 		return o
@@ -148,35 +147,36 @@
 		return o
 	}
 	defer resp.Body.Close()
-	got, err := io.ReadAll(resp.Body)
+	respBody, err := io.ReadAll(resp.Body)
 	if err != nil {
 		o.err = err
 		return o
 	}
-	o.code = resp.StatusCode
+	o.status = resp.StatusCode
 	switch {
 	case resp.Header.Get(platform.Headers.RequestID) != o.id:
-		o.wrong = "answer to " + resp.Header.Get(platform.Headers.RequestID)
-	case o.code == http.StatusOK && string(got) != answerTo(o.id, body):
-		o.wrong = fmt.Sprintf("answer of %d bytes: %.40q", len(got), got)
-	case o.code == http.StatusOK && resp.Header.Get(platform.Headers.Signature) == "":
-		o.wrong = "answer without signature"
+		o.invalid = "response to " + resp.Header.Get(platform.Headers.RequestID)
+	case o.status == http.StatusOK && string(respBody) != responseBody(o.id, body):
+		o.invalid = fmt.Sprintf("unexpected response body of %d bytes: %.40q", len(respBody), respBody)
+	case o.status == http.StatusOK && resp.Header.Get(platform.Headers.Signature) == "":
+		o.invalid = "response without signature"
 	}
 	return o
 }
 
-// awaitServing waits until every node has served a request.
-func (d *deployment) awaitServing(within time.Duration) {
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-		ok := map[*vm]bool{}
+// waitServing waits until every node has served a request, and fails the test
+// after the timeout.
+func (d *deployment) waitServing(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		served := map[*vm]bool{}
 		for _, o := range d.outcomes() {
-			ok[o.vm] = ok[o.vm] || o.code == http.StatusOK
+			served[o.vm] = served[o.vm] || o.status == http.StatusOK
 		}
-		if len(ok) == len(d.vms) && allTrue(ok) {
+		if len(served) == len(d.vms) && allTrue(served) {
 			return
 		}
 	}
-	d.t.Fatal("the deployment does not serve")
+	d.t.Fatal("deployment not ready: some node has not served a request")
 }
 
 func allTrue(m map[*vm]bool) bool {
@@ -191,82 +191,84 @@
 func (c *callers) outcomes() []outcome {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]outcome{}, c.seen...)
+	return append([]outcome{}, c.results...)
 }
 
-// endCallers waits for the callers' last requests.
-func (c *callers) endCallers() {
-	c.end()
+// stopCallers stops the callers and waits for their last requests.
+func (c *callers) stopCallers() {
+	c.cancel()
 	c.wg.Wait()
 }
 
-// served returns the part of the requests of the next while that is served.
-func (c *callers) served(d time.Duration) float64 {
+// successRate observes the callers for a period and returns the fraction of the
+// requests sent in it that were served.
+func (c *callers) successRate(period time.Duration) float64 {
 	from := time.Now()
-	time.Sleep(d)
-	ok, all := 0, 0
+	time.Sleep(period)
+	ok, total := 0, 0
 	for _, o := range c.outcomes() {
 		if o.sent.After(from) {
-			all++
-			if o.code == http.StatusOK {
+			total++
+			if o.status == http.StatusOK {
 				ok++
 			}
 		}
 	}
-	return float64(ok) / float64(max(all, 1))
+	return float64(ok) / float64(max(total, 1))
 }
 
-// violations returns every promise that was seen broken.
+// violations describes every observed violation of an invariant.
 func (d *deployment) violations() []string {
-	all := append([]string{}, d.late...)
+	list := append([]string{}, d.lateStops...)
 	for _, o := range d.outcomes() {
-		if why := broken(o, d.runs(o.id)); why != "" {
-			all = append(all, fmt.Sprintf("%s at node-%d, read %t, code %d, error %v: %s", o.id, o.vm.n, o.read, o.code, o.err, why))
+		if reason := violation(o, d.runCount(o.id)); reason != "" {
+			list = append(list, fmt.Sprintf("%s at node-%d, read %t, code %d, error %v: %s", o.id, o.vm.n, o.read, o.status, o.err, reason))
 		}
 	}
-	return all
+	return list
 }
 
-// broken says which promise one outcome breaks.
-func broken(o outcome, runs int) string {
-	most := 1
+// violation returns the invariant that an outcome violates, or an empty string.
+func violation(o outcome, runs int) string {
+	maxRuns := 1
 	if o.read {
-		most = maxInstances
+		maxRuns = maxInstances
 	}
 	switch {
-	case o.wrong != "":
-		return o.wrong
-	case runs > most:
-		return fmt.Sprintf("ran %d times", runs)
-	case o.code == http.StatusOK && runs == 0:
-		return "served and never run"
-	case refused(o.code) && runs > 0:
-		return "refused and has run"
-	case o.code >= 400 && o.code < 500 && !refused(o.code):
-		return "a proper request is denied"
-	case o.err != nil && runs > 0 && !o.vm.unplanned.touches(o.sent, o.done) && !refusedConnection(o.err):
-		return "cut by a planned stop, or by nothing at all"
+	case o.invalid != "":
+		return o.invalid
+	case runs > maxRuns:
+		return fmt.Sprintf("executed %d times", runs)
+	case o.status == http.StatusOK && runs == 0:
+		return "served but not executed"
+	case isNotRun(o.status) && runs > 0:
+		return "refused as not run but executed"
+	case o.status >= 400 && o.status < 500 && !isNotRun(o.status):
+		return "valid request denied"
+	case o.err != nil && runs > 0 && !o.vm.disruptions.overlaps(o.sent, o.done) && !isDialError(o.err):
+		return "connection lost without an unplanned fault"
 	}
 	return ""
 }
 
-// refused reports whether a status promises that the request has not run.
-func refused(code int) bool {
-	return code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests ||
-		code == http.StatusRequestTimeout || code == http.StatusMisdirectedRequest
+// isNotRun reports whether a status guarantees that the request has not run.
+func isNotRun(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
+		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// refusedConnection reports whether nothing was listening.
-func refusedConnection(err error) bool {
+// isDialError reports whether the connection could not be established, as when
+// nothing listens at the port.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// summary counts the outcomes by status.
-func (d *deployment) summary() string {
-	byCode := map[int]int{}
+// statusCounts returns the number of outcomes by status, as text for the log.
+func (d *deployment) statusCounts() string {
+	byStatus := map[int]int{}
 	for _, o := range d.outcomes() {
-		byCode[o.code]++
+		byStatus[o.status]++
 	}
-	return fmt.Sprintf("requests by status, 0 for none: %v", byCode)
+	return fmt.Sprintf("requests by status (0: no complete response): %v", byStatus)
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,5 @@
-// Package soak runs the real node processes against stand-ins and injects
-// faults from outside them, by signals and by a proxy on each way between
-// them, while callers check what they and the targets see.
+// Package soak tests real node processes against simulated targets and a
+// simulated store. It injects faults from outside the processes, by signals and
+// by proxies on their network links, and checks what callers and targets
+// observe.
 package soak
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -10,152 +10,154 @@
 	"github.com/oatpin/oatpin/directory"
 )
 
-// fault is one kind of trouble; it lasts until the function returns.
+// fault injects one fault, which lasts until the function returns.
 type fault func(d *deployment, v *vm, r *rand.Rand)
 
-// faults are drawn with equal chance.
-var faults = []fault{stopAndStart, killAndStart, pause, hangUp, newTarget, drain,
-	cutPeers, cutPeers, cutStore, resetLinks, forget, changeRoutes,
-	lapse, lapse, leaveSilently, startAgain, writeForeign}
+// faults are drawn with equal probability; an entry listed twice counts twice.
+var faults = []fault{restartNode, killNode, pauseNode, sendSIGHUP, replaceInstance, drainInstance,
+	disruptPeers, disruptPeers, disruptStore, resetConnections, forgetHistory, publishRoutes,
+	removeLiveEntry, removeLiveEntry, removeWithoutDrain, restartTarget, writeForeignEntries}
 
-// inject draws faults for a time, on any node and several at once, and waits
+// injectFaults injects random faults for a period, also concurrent ones, and waits
 // until the last one is over.
-func (d *deployment) inject(seed uint64, d0 time.Duration) {
+func (d *deployment) injectFaults(seed uint64, period time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var wg sync.WaitGroup
-	// A stream of its own, so that seeds draw the same faults with and without.
-	fatal := rand.New(rand.NewPCG(seed, 1))
-	wg.Go(func() { comeFatal(d, fatal, d0) })
-	for until := time.Now().Add(d0); time.Now().Before(until); time.Sleep(between(r, 50, 400)) {
+	// A separate generator keeps the faults drawn for a seed independent of the
+	// poison requests.
+	poisonRand := rand.New(rand.NewPCG(seed, 1))
+	wg.Go(func() { sendPoisonRequests(d, poisonRand, period) })
+	for deadline := time.Now().Add(period); time.Now().Before(deadline); time.Sleep(randomMillis(r, 50, 400)) {
 		f, v := faults[r.IntN(len(faults))], d.vms[r.IntN(len(d.vms))]
-		own := rand.New(rand.NewPCG(r.Uint64(), 0))
-		wg.Go(func() { f(d, v, own) })
+		faultRand := rand.New(rand.NewPCG(r.Uint64(), 0))
+		wg.Go(func() { f(d, v, faultRand) })
 	}
 	wg.Wait()
 }
 
-// between draws a time in milliseconds.
-func between(r *rand.Rand, least, most int) time.Duration {
-	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
+// randomMillis returns a random duration of lo to hi-1 milliseconds.
+func randomMillis(r *rand.Rand, lo, hi int) time.Duration {
+	return time.Duration(lo+r.IntN(hi-lo)) * time.Millisecond
 }
 
-func stopAndStart(d *deployment, v *vm, _ *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
+func restartNode(d *deployment, v *vm, _ *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
 	v.cmd.Process.Signal(syscall.SIGTERM)
-	d.end(v, grace+endSlack)
-	d.run(v)
+	d.waitNode(v, shutdownGrace+shutdownSlack)
+	d.startNode(v)
 }
 
-func killAndStart(d *deployment, v *vm, r *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
-	v.unplanned.begin()
+func killNode(d *deployment, v *vm, r *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
+	v.disruptions.start()
 	v.cmd.Process.Kill()
 	v.cmd.Wait()
-	time.Sleep(between(r, 0, 800))
-	d.run(v)
-	v.unplanned.end()
+	time.Sleep(randomMillis(r, 0, 800))
+	d.startNode(v)
+	v.disruptions.finish()
 }
 
-func pause(_ *deployment, v *vm, r *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
-	v.unplanned.begin()
+func pauseNode(_ *deployment, v *vm, r *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
+	v.disruptions.start()
 	v.cmd.Process.Signal(syscall.SIGSTOP)
-	time.Sleep(between(r, 100, 1500))
+	time.Sleep(randomMillis(r, 100, 1500))
 	v.cmd.Process.Signal(syscall.SIGCONT)
-	v.unplanned.end()
+	v.disruptions.finish()
 }
 
-// hangUp overlaps with other faults: a signal may come at any moment after
-// the process has set itself up for it.
-func hangUp(_ *deployment, v *vm, _ *rand.Rand) {
-	if !v.fault.TryLock() {
+// sendSIGHUP sends SIGHUP to a node that has been up for at least a second, so
+// that its signal handler is installed.
+func sendSIGHUP(_ *deployment, v *vm, _ *rand.Rand) {
+	if !v.faultMu.TryLock() {
 		return
 	}
-	defer v.fault.Unlock()
+	defer v.faultMu.Unlock()
 	time.Sleep(time.Second)
 	v.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-func newTarget(d *deployment, v *vm, _ *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
+func replaceInstance(d *deployment, v *vm, _ *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
 	d.replaceTarget(v)
 }
 
-// drain announces that an instance leaves and takes that back.
-func drain(d *deployment, v *vm, r *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
+// drainInstance marks an instance as leaving for a while.
+func drainInstance(d *deployment, v *vm, r *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
 	in := v.instance
 	in.Leaving = true
 	d.must(d.store.PutInstance(in))
-	time.Sleep(between(r, 200, 1500))
+	time.Sleep(randomMillis(r, 200, 1500))
 	d.must(d.store.PutInstance(v.instance))
 }
 
-// lapse cuts a VM off from the store until the entry of its instance, which
-// lives, is taken off the list, and back.
-func lapse(d *deployment, v *vm, r *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
-	v.toStore.Set(Unplug)
-	time.Sleep(between(r, 0, 300))
+// removeLiveEntry cuts a VM off from the store and removes the entry of its
+// instance while that is alive, then undoes both.
+func removeLiveEntry(d *deployment, v *vm, r *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
+	v.storeProxy.Set(Unplug)
+	time.Sleep(randomMillis(r, 0, 300))
 	d.store.RemoveInstance(v.instance.ID)
-	time.Sleep(between(r, 300, 2500))
-	v.toStore.Set(Pass)
-	time.Sleep(between(r, 0, 1500))
+	time.Sleep(randomMillis(r, 300, 2500))
+	v.storeProxy.Set(Pass)
+	time.Sleep(randomMillis(r, 0, 1500))
 	d.must(d.store.PutInstance(v.instance))
 }
 
-// leaveSilently takes an instance's entry off without a word before; it
-// serves for as long as it owes and ends.
-func leaveSilently(d *deployment, v *vm, r *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
+// removeWithoutDrain removes the entry of an instance without marking it as
+// leaving before. The instance serves on for at least 2 s and is replaced.
+func removeWithoutDrain(d *deployment, v *vm, r *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
 	v.target.Leave()
 	d.store.RemoveInstance(v.instance.ID)
-	time.Sleep(between(r, 2000, 2600))
+	time.Sleep(randomMillis(r, 2000, 2600))
 	d.replaceTarget(v)
 }
 
-// startAgain ends an instance and starts it under the id that it had.
-func startAgain(d *deployment, v *vm, _ *rand.Rand) {
-	v.fault.Lock()
-	defer v.fault.Unlock()
+// restartTarget restarts an instance under the same ID.
+func restartTarget(d *deployment, v *vm, _ *rand.Rand) {
+	v.faultMu.Lock()
+	defer v.faultMu.Unlock()
 	d.startTarget(v, string(v.instance.ID))
 }
 
-// writeForeign puts entries of another program beside the instances'.
-func writeForeign(d *deployment, v *vm, r *rand.Rand) {
+// writeForeignEntries adds entries of another program to those of the instances.
+func writeForeignEntries(d *deployment, v *vm, r *rand.Rand) {
 	for i, text := range []string{"\xff", `{"Address":"` + v.instance.Addr + `"}`, `{"Address":"` + v.instance.Addr +
 		`","Info":{"Service":"nobody","Version":"v1","Zone":"nord","Slots":1},"Status":{"State":"ready","Seq":1,"ColdLeft":"0ms"}}`} {
 		d.store.PutForeign(directory.InstanceID(fmt.Sprintf("foreign-%d-%d", r.IntN(5), i)), text)
 	}
 }
 
-// comeFatal sends the same fatal request now and then, at nodes of any VMs.
-func comeFatal(d *deployment, r *rand.Rand, d0 time.Duration) {
-	for until := time.Now().Add(d0); time.Now().Before(until); time.Sleep(between(r, 0, 1000)) {
-		d.sendFatal(d.vms[r.IntN(len(d.vms))])
+// sendPoisonRequests sends the same poison request to random nodes for a period.
+func sendPoisonRequests(d *deployment, r *rand.Rand, period time.Duration) {
+	for deadline := time.Now().Add(period); time.Now().Before(deadline); time.Sleep(randomMillis(r, 0, 1000)) {
+		d.sendPoison(d.vms[r.IntN(len(d.vms))])
 	}
 }
 
-func cutPeers(_ *deployment, v *vm, r *rand.Rand) { cut(v.peers, r) }
-func cutStore(_ *deployment, v *vm, r *rand.Rand) { cut(v.toStore, r) }
+func disruptPeers(_ *deployment, v *vm, r *rand.Rand) { disruptLink(v.peerProxy, r) }
+func disruptStore(_ *deployment, v *vm, r *rand.Rand) { disruptLink(v.storeProxy, r) }
 
-func cut(p *Proxy, r *rand.Rand) {
-	p.Set(Mode(r.IntN(int(modeLast)) + 1))
-	time.Sleep(between(r, 100, 2500))
+// disruptLink puts a proxy in a random mode other than Pass for a while.
+func disruptLink(p *Proxy, r *rand.Rand) {
+	p.Set(Mode(r.IntN(int(lastMode)) + 1))
+	time.Sleep(randomMillis(r, 100, 2500))
 	p.Set(Pass)
 }
 
-func resetLinks(_ *deployment, v *vm, _ *rand.Rand) {
-	v.peers.Reset()
-	v.toStore.Reset()
+func resetConnections(_ *deployment, v *vm, _ *rand.Rand) {
+	v.peerProxy.Reset()
+	v.storeProxy.Reset()
 }
 
-func forget(d *deployment, _ *vm, _ *rand.Rand)       { d.store.ForgetHistory() }
-func changeRoutes(d *deployment, _ *vm, _ *rand.Rand) { d.changeRoutes() }
+func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.ForgetHistory() }
+func publishRoutes(d *deployment, _ *vm, _ *rand.Rand) { d.publishRoutes() }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -10,63 +10,64 @@
 	"github.com/rotisserie/eris"
 )
 
-// Ways in which a Proxy can treat what passes through it.
+// Modes of a Proxy.
 const (
-	Pass     Mode = iota // as it comes
-	Slow                 // each piece is held for slowFor
-	Swallow              // nothing more arrives on open connections; new ones work
-	OneWay               // what the dialling side sends is lost, answers pass
-	Unplug               // nothing arrives, on new connections neither
-	modeLast = Unplug
+	Pass     Mode = iota // forwards both directions unchanged
+	Slow                 // delays each chunk by slowDelay
+	Swallow              // drops both directions of the connections open now; new ones work
+	OneWay               // drops what the client sends; responses pass
+	Unplug               // drops both directions of open and new connections
+	lastMode = Unplug
 )
 
 const (
-	// slowFor is how long Slow holds each piece: a few times a round trip
-	// between data centres, so that timeouts come near without being met.
-	slowFor = 30 * time.Millisecond
-	// pieceBytes is how much is passed on at a time.
-	pieceBytes = 16 << 10
-	// forth and back are the directions of a link, as its dialling side sees
-	// them.
-	forth = 0
-	back  = 1
+	// slowDelay is a few round trips between data centres: long enough to come
+	// near the timeouts, too short to exceed them.
+	slowDelay = 30 * time.Millisecond
+	// chunkBytes is the size of the copy buffer.
+	chunkBytes = 16 << 10
+	// Directions of a connection, as indexes into connPair.dropped.
+	toServer = 0
+	toClient = 1
 )
 
 type (
-	// Mode is how a Proxy treats connections.
+	// Mode selects how a Proxy forwards data.
 	Mode int32
 
-	// Proxy passes TCP connections on to one address.
+	// Proxy forwards TCP connections to one address and injects network faults.
+	// Its methods are safe for concurrent use.
 	Proxy struct {
-		to string
-		l  net.Listener
+		serverAddr string
+		listener   net.Listener
 
 		mode  atomic.Int32
 		mu    sync.Mutex
-		conns map[*link]struct{}
+		conns map[*connPair]struct{}
 	}
 
-	// link is one connection through a Proxy.
-	link struct {
-		in, out net.Conn
-		// lost says that nothing more arrives in a direction: lost bytes do
-		// not come later, so the stream has a hole from there on.
-		lost [2]atomic.Bool
+	// connPair holds both sides of a connection through a Proxy.
+	connPair struct {
+		client, server net.Conn
+		// dropped is set for a direction for good once data of it was dropped:
+		// forwarding later data would corrupt the stream.
+		dropped [2]atomic.Bool
 	}
 )
 
-// NewProxy listens at addr and passes connections on to another address.
-func NewProxy(addr, to string) (*Proxy, error) {
-	l, err := net.Listen("tcp", addr)
+// NewProxy starts a proxy in mode Pass that listens at addr and forwards
+// connections to serverAddr.
+func NewProxy(addr, serverAddr string) (*Proxy, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "proxy at %s", addr)
 	}
-	p := &Proxy{to: to, l: l, conns: map[*link]struct{}{}}
+	p := &Proxy{serverAddr: serverAddr, listener: listener, conns: map[*connPair]struct{}{}}
 	go p.accept()
 	return p, nil
 }
 
-// Set changes how connections are treated from now on.
+// Set changes the mode, for open connections too.
 func (p *Proxy) Set(m Mode) {
 	p.mode.Store(int32(m))
 	if m != Swallow {
@@ -75,12 +76,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		c.lost[forth].Store(true)
-		c.lost[back].Store(true)
+		c.dropped[toServer].Store(true)
+		c.dropped[toClient].Store(true)
 	}
 }
 
-// Reset resets every open connection.
+// Reset resets every open connection with a TCP RST.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,77 +90,77 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
-	p.l.Close()
+	p.listener.Close()
 	p.Reset()
 }
 
 func (p *Proxy) accept() {
 	for {
-		in, err := p.l.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // listener closed
 		}
-		go p.serve(in)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(in net.Conn) {
-	out, err := net.Dial("tcp", p.to)
-	c := &link{in: in, out: out}
+func (p *Proxy) serve(client net.Conn) {
+	server, err := net.Dial("tcp", p.serverAddr)
+	pair := &connPair{client: client, server: server}
 	if err != nil {
-		// What is behind is down: a reset, as from a port without a listener.
-		c.reset()
+		// The server is down: reset, as if nothing listened at the port.
+		pair.reset()
 		return
 	}
-	p.track(c, true)
-	defer p.track(c, false)
+	p.track(pair, true)
+	defer p.track(pair, false)
 	var wg sync.WaitGroup
-	wg.Go(func() { p.pipe(c, in, out, forth) })
-	wg.Go(func() { p.pipe(c, out, in, back) })
+	wg.Go(func() { p.pipe(pair, client, server, toServer) })
+	wg.Go(func() { p.pipe(pair, server, client, toClient) })
 	wg.Wait()
-	c.reset()
+	pair.reset()
 }
 
-func (p *Proxy) track(c *link, add bool) {
+func (p *Proxy) track(pair *connPair, add bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if add {
-		p.conns[c] = struct{}{}
+		p.conns[pair] = struct{}{}
 	} else {
-		delete(p.conns, c)
+		delete(p.conns, pair)
 	}
 }
 
-// pipe passes on what one side sends, as the mode of the moment says.
-func (p *Proxy) pipe(c *link, from, to net.Conn, way int) {
-	buf := make([]byte, pieceBytes)
+// pipe copies one direction of a connection, subject to the current mode.
+func (p *Proxy) pipe(pair *connPair, from, to net.Conn, direction int) {
+	buf := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buf)
 		switch m := Mode(p.mode.Load()); {
 		case m == Slow:
-			time.Sleep(slowFor)
-		case m == Unplug, m == OneWay && way == forth:
-			c.lost[way].Store(true)
+			time.Sleep(slowDelay)
+		case m == Unplug, m == OneWay && direction == toServer:
+			pair.dropped[direction].Store(true)
 		}
-		lost := c.lost[way].Load()
-		if n > 0 && !lost {
-			if _, werr := to.Write(buf[:n]); werr != nil {
+		dropped := pair.dropped[direction].Load()
+		if n > 0 && !dropped {
+			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
 				from.Close()
 				return
 			}
 		}
 		if err != nil {
-			end(to, err == io.EOF && !lost)
+			closeAfter(to, err == io.EOF && !dropped)
 			return
 		}
 	}
 }
 
-// end closes one side after the other has ended: only its sending half after
-// a clean end, so that what is still under way the other way arrives.
-func end(nc net.Conn, clean bool) {
+// closeAfter closes nc after its peer has closed. After a clean EOF it closes only
+// the write side, so that data in the other direction still arrives.
+func closeAfter(nc net.Conn, clean bool) {
 	if tc, ok := nc.(*net.TCPConn); ok && clean {
 		tc.CloseWrite()
 		return
@@ -167,9 +168,10 @@
 	nc.Close()
 }
 
-// reset closes both sides at once, with a reset where bytes are open.
-func (c *link) reset() {
-	for _, nc := range []net.Conn{c.in, c.out} {
+// reset closes both sides without lingering, which discards unsent data and
+// sends a TCP RST.
+func (c *connPair) reset() {
+	for _, nc := range []net.Conn{c.client, c.server} {
 		if tc, ok := nc.(*net.TCPConn); ok && tc != nil {
 			tc.SetLinger(0)
 			tc.Close()
--- a/soak/target.go
+++ b/soak/target.go
@@ -12,88 +12,91 @@
 	"github.com/rotisserie/eris"
 )
 
-// workTime is how long a Target works on a request.
-const workTime = 5 * time.Millisecond
+// serviceTime is how long a Target takes to execute a request.
+const serviceTime = 5 * time.Millisecond
 
-// Target is a stand-in of an instance that answers each request with its id
-// and counts what it ran.
+// Target is a simulated instance that echoes the ID of each request and counts
+// executions. Its methods are safe for concurrent use.
 type Target struct {
-	id      string
-	headers call.Headers
-	l       net.Listener
-	srv     *http.Server
-
-	mu      sync.Mutex
-	ran     map[string]int // by request id
-	leaving bool
-	onFatal func()
+	id       string
+	headers  call.Headers
+	listener net.Listener
+	srv      *http.Server
+
+	mu        sync.Mutex
+	runs      map[string]int // number of executions by request ID
+	unhealthy bool
+	onPoison  func()
 }
 
-// fatalBody ends the target that begins to run a request with it.
-const fatalBody = "fatal"
+// poisonBody is the body of a request that makes the target executing it call
+// the function set by SetOnFatal.
+const poisonBody = "fatal"
 
-// healthPath is where a Target says whether it is well.
+// healthPath is the path of a Target's health check.
 const healthPath = "/health"
 
-// NewTarget serves at addr as the instance with an id.
+// NewTarget starts a target that serves at addr as the instance with the given
+// ID.
 func NewTarget(id, addr string, h call.Headers) (*Target, error) {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "target at %s", addr)
 	}
-	t := &Target{id: id, headers: h, l: l, ran: map[string]int{}}
+	t := &Target{id: id, headers: h, listener: listener, runs: map[string]int{}}
 	t.srv = &http.Server{Handler: t}
-	go t.srv.Serve(l)
+	go t.srv.Serve(listener)
 	return t, nil
 }
 
-// Leave lets the target's health check fail; it serves on.
+// Leave makes the health check fail. The target still serves requests.
 func (t *Target) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving = true
+	t.unhealthy = true
 }
 
 func (t *Target) serveHealth(w http.ResponseWriter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w.Header().Set(t.headers.Instance, t.id)
-	if t.leaving {
+	if t.unhealthy {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// Close ends the target. The server knows its listener only once it runs, and
-// the next target is to listen at the same address.
+// Close stops the target and frees its address for the next one. It closes the
+// listener itself because the server may not have registered it yet.
 func (t *Target) Close() {
-	t.l.Close()
+	t.listener.Close()
 	t.srv.Close()
 }
 
-// SetOnFatal sets what ends the target when it runs a request with fatalBody.
+// SetOnFatal sets the function to call when the target executes a request with
+// poisonBody.
 func (t *Target) SetOnFatal(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.onFatal = f
+	t.onPoison = f
 }
 
-func (t *Target) endFatally() {
+func (t *Target) handlePoison() {
 	t.mu.Lock()
-	f := t.onFatal
+	f := t.onPoison
 	t.mu.Unlock()
 	if f != nil {
 		f()
 	}
 }
 
-// Runs returns how often the target has run a request.
+// Runs returns how often the target has executed the request with the given ID.
 func (t *Target) Runs(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.ran[id]
+	return t.runs[id]
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP executes a request or answers a health check.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == healthPath {
 		t.serveHealth(w)
@@ -107,19 +110,20 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // cut on the way here: nothing has run
+		return // incomplete request: not executed
 	}
 	t.mu.Lock()
-	t.ran[id]++
+	t.runs[id]++
 	t.mu.Unlock()
-	time.Sleep(workTime)
-	if string(body) == fatalBody {
-		t.endFatally()
+	time.Sleep(serviceTime)
+	if string(body) == poisonBody {
+		t.handlePoison()
 		return
 	}
 	w.Header().Set(t.headers.Signature, t.id)
-	io.WriteString(w, answerTo(id, string(body)))
+	io.WriteString(w, responseBody(id, string(body)))
 }
 
-// answerTo is the whole answer to a request; long enough for several pieces.
-func answerTo(id, body string) string { return id + " " + body + strings.Repeat(".", 2000) }
+// responseBody returns the body of the response to a request. The
+// padding makes it long enough to be transferred in several parts.
+func responseBody(id, body string) string { return id + " " + body + strings.Repeat(".", 2000) }
