--- a/admit/cost.go
+++ b/admit/cost.go
@@ -18,45 +18,45 @@
 	minWeight = 0.25
 )
 
-// Costs keeps the mean slot time that a request on each route, including its
-// calls, takes at overloaded targets. Under overload, requests are admitted
-// in inverse proportion to that cost, since the same slot time completes
-// more of the cheap ones: the levels of a cheaper route are drawn from only
-// the lower levels of the rank. It is safe for concurrent use.
-type Costs struct {
+// RouteCosts keeps the mean slot time that a request on each route,
+// including its calls, takes at overloaded targets. Under overload, requests
+// are admitted in inverse proportion to that cost, since the same slot time
+// completes more of the cheap ones: the levels of a cheaper route are drawn
+// from only the lower levels of the rank. It is safe for concurrent use.
+type RouteCosts struct {
 	mu     sync.Mutex
 	routes map[string]*cost
 }
 
-// Levels assigns levels to new requests.
-type Levels interface {
-	Level(k Kind, id call.RequestID) call.Level
+// LevelAssigner assigns levels to new requests.
+type LevelAssigner interface {
+	Level(k RequestInfo, id call.RequestID) call.Level
 }
 
-// Kind describes a new request for assigning its level.
-type Kind struct {
+// RequestInfo describes a new request for assigning its level.
+type RequestInfo struct {
 	Route    string
 	Priority int // of the route; costs are compared among routes of equal priority
 	Rank     int // of the request
 }
 
-// Even assigns levels without regard to the cost of routes.
-type Even struct{}
+// UniformLevels assigns levels without regard to the cost of routes.
+type UniformLevels struct{}
 
-// Level implements Levels.
-func (Even) Level(k Kind, id call.RequestID) call.Level { return LevelOf(k.Rank, id) }
+// Level implements LevelAssigner.
+func (UniformLevels) Level(k RequestInfo, id call.RequestID) call.Level { return LevelOf(k.Rank, id) }
 
 type cost struct {
 	rank     int
 	slotTime time.Duration // mean per request, including its calls
 }
 
-// NewCosts returns a Costs without any known route.
-func NewCosts() *Costs { return &Costs{routes: map[string]*cost{}} }
+// NewRouteCosts returns a RouteCosts without any known route.
+func NewRouteCosts() *RouteCosts { return &RouteCosts{routes: map[string]*cost{}} }
 
-// Took records the slot time that a request on a route, including its calls,
+// Record records the slot time that a request on a route, including its calls,
 // took at overloaded targets.
-func (c *Costs) Took(route string, priority int, d time.Duration) {
+func (c *RouteCosts) Record(route string, priority int, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.routes[route]
@@ -69,7 +69,7 @@
 }
 
 // Mean returns the mean slot time of a route's requests, or 0 if unknown.
-func (c *Costs) Mean(route string) time.Duration {
+func (c *RouteCosts) Mean(route string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k := c.routes[route]; k != nil {
@@ -81,13 +81,13 @@
 // Level returns the level of a new request. All calls of the request inherit
 // it, so that a request is refused at its entry rather than after some of
 // its calls have run.
-func (c *Costs) Level(k Kind, id call.RequestID) call.Level {
+func (c *RouteCosts) Level(k RequestInfo, id call.RequestID) call.Level {
 	return levelOf(k.Rank, id, c.weight(k.Route, rank(k.Priority)))
 }
 
 // weight returns the fraction of the rank's levels to use for a route: its
 // cost relative to the most expensive route of the rank.
-func (c *Costs) weight(route string, rank int) float64 {
+func (c *RouteCosts) weight(route string, rank int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.routes[route]
--- a/admit/meter.go
+++ b/admit/meter.go
@@ -29,12 +29,13 @@
 	maxRaiseStep = 8
 )
 
-// Meter computes the highest level that a target has capacity for from the
-// demand at each level. Calls count at the level of the request they belong
-// to. The threshold is set directly to where the demand fits, not stepped
-// down while the excess lasts: requests that were admitted earlier go on
-// making calls, and stepping would overshoot. It is safe for concurrent use.
-type Meter struct {
+// DemandMeter computes the highest level that a target has capacity for from
+// the demand at each level. Calls count at the level of the request they
+// belong to. The threshold is set directly to where the demand fits, not
+// stepped down while the excess lasts: requests that were admitted earlier
+// go on making calls, and stepping would overshoot. It is safe for
+// concurrent use.
+type DemandMeter struct {
 	mu            sync.Mutex
 	slots         float64
 	demand        [numLevels]float64 // in the current interval, in slot seconds
@@ -45,32 +46,32 @@
 	queued        time.Duration // queued work, in slot time
 }
 
-// NewMeter returns a Meter for a target with the given number of slots. It
-// admits everything until demand exceeds them.
-func NewMeter(slots int) *Meter {
-	return &Meter{slots: float64(slots), level: Top, raiseStep: 1}
+// NewDemandMeter returns a DemandMeter for a target with the given number of
+// slots. It admits everything until demand exceeds them.
+func NewDemandMeter(slots int) *DemandMeter {
+	return &DemandMeter{slots: float64(slots), level: MaxLevel, raiseStep: 1}
 }
 
 // SetSlots changes the number of requests that the target processes
 // concurrently.
-func (m *Meter) SetSlots(n int) {
+func (m *DemandMeter) SetSlots(n int) {
 	m.mu.Lock()
 	m.slots = float64(n)
 	m.mu.Unlock()
 }
 
-// Arrive records the arrival of a request at a level, the slot time it is
-// expected to take, and the slot time of the work already queued.
-func (m *Meter) Arrive(l call.Level, work, queued time.Duration) {
+// RecordArrival records the arrival of a request at a level, the slot time
+// it is expected to take, and the slot time of the work already queued.
+func (m *DemandMeter) RecordArrival(l call.Level, work, queued time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(time.Now())
-	m.demand[min(l, Top)] += work.Seconds()
+	m.demand[min(l, MaxLevel)] += work.Seconds()
 	m.queued = queued
 }
 
 // Threshold returns the highest level that is admitted.
-func (m *Meter) Threshold() call.Level {
+func (m *DemandMeter) Threshold() call.Level {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(time.Now())
@@ -79,7 +80,7 @@
 
 // advance closes the current interval if it has ended. Intervals without a
 // call count as empty, up to maxRaiseStep of them.
-func (m *Meter) advance(now time.Time) {
+func (m *DemandMeter) advance(now time.Time) {
 	if m.intervalStart.IsZero() {
 		m.intervalStart = now
 	}
@@ -97,7 +98,7 @@
 	}
 }
 
-func (m *Meter) adjust() {
+func (m *DemandMeter) adjust() {
 	excess := max(0, m.queued.Seconds()-m.slots*allowedQueueDelay.Seconds())
 	capacity := m.slots*targetUtilization - excess/drainTime.Seconds()
 	var sum float64
@@ -108,6 +109,6 @@
 			return
 		}
 	}
-	m.level = min(m.level+call.Level(m.raiseStep), Top)
+	m.level = min(m.level+call.Level(m.raiseStep), MaxLevel)
 	m.raiseStep = min(2*m.raiseStep, maxRaiseStep)
 }
--- a/admit/meter_test.go
+++ b/admit/meter_test.go
@@ -14,7 +14,7 @@
 // duration d, each of which takes work at the target, and returns the
 // fraction of each priority that was admitted. Refused requests do not
 // arrive.
-func offerLoad(m *Meter, rates map[int]int, work, d time.Duration) map[int]float64 {
+func offerLoad(m *DemandMeter, rates map[int]int, work, d time.Duration) map[int]float64 {
 	admitted := map[int]float64{}
 	sent := map[int]float64{}
 	const step = 10 * time.Millisecond
@@ -28,7 +28,7 @@
 				l := LevelOf(prio, call.RequestID(fmt.Sprintf("%d-%d", prio, n)))
 				if l <= m.Threshold() {
 					admitted[prio]++
-					m.Arrive(l, work, 0)
+					m.RecordArrival(l, work, 0)
 				}
 			}
 		}
@@ -45,7 +45,7 @@
 // again within two seconds after the surge.
 func TestSurgeRefusesLowestRankOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewMeter(60)
+		m := NewDemandMeter(60)
 		const work = 60 * time.Millisecond
 		Convey("In a surge the lowest rank is refused as far as needed", t, func() {
 			calm := offerLoad(m, map[int]int{0: 300, 2: 500}, work, 3*time.Second)
@@ -67,27 +67,27 @@
 // as that excess lasts.
 func TestExcessAtRefusedLevelsDoesNotLowerThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewMeter(60)
+		m := NewDemandMeter(60)
 		Convey("Excess at refused levels does not lower the threshold", t, func() {
 			for i := range 500 {
 				for j := range 16 {
-					m.Arrive(call.Level(2*Parts+(i+j)%Parts), 60*time.Millisecond, 0)
+					m.RecordArrival(call.Level(2*LevelsPerRank+(i+j)%LevelsPerRank), 60*time.Millisecond, 0)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			// At 1,600 requests per second of one rank, 10 of its 16 levels
 			// fit.
-			So(m.Threshold(), ShouldBeBetweenOrEqual, 2*Parts+7, 2*Parts+10)
+			So(m.Threshold(), ShouldBeBetweenOrEqual, 2*LevelsPerRank+7, 2*LevelsPerRank+10)
 		})
 	})
 }
 
 func TestQueuedWorkLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewMeter(10)
+		m := NewDemandMeter(10)
 		Convey("Queued work counts as demand", t, func() {
 			for i := range 750 {
-				m.Arrive(call.Level(i%Parts), 16*time.Millisecond, 5*time.Second)
+				m.RecordArrival(call.Level(i%LevelsPerRank), 16*time.Millisecond, 5*time.Second)
 				time.Sleep(2 * time.Millisecond)
 			}
 			// The demand is 8 slots over 16 levels. Of 9.8 usable slots,
@@ -102,16 +102,16 @@
 // there is capacity again. The threshold must rise by itself.
 func TestUnconfirmedThresholdExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard()
-		b.See(127)
+		b := NewThresholdTable()
+		b.ObserveLevel(127)
 		Convey("It rises from the last reported value", t, func() {
-			So(b.Threshold("read"), ShouldEqual, Top)
-			b.Told("read", 20, "entwurf")
+			So(b.Threshold("read"), ShouldEqual, MaxLevel)
+			b.RecordThreshold("read", 20, "entwurf")
 			So(b.Threshold("read"), ShouldEqual, 20)
 			time.Sleep(1300 * time.Millisecond)
 			So(b.Threshold("read"), ShouldEqual, 32)
 			time.Sleep(time.Minute)
-			So(b.Threshold("read"), ShouldEqual, Top)
+			So(b.Threshold("read"), ShouldEqual, MaxLevel)
 		})
 	})
 }
@@ -121,22 +121,22 @@
 // and against refusals that accumulate by rounding at each hop.
 func TestSlowInstanceBarelyLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard()
-		b.See(47)
+		b := NewThresholdTable()
+		b.ObserveLevel(47)
 		Convey("Responses are weighted by time, and levels are rounded to the nearest", t, func() {
 			for i := range 250 {
-				b.Told("fetch", Top, "")
+				b.RecordThreshold("fetch", MaxLevel, "")
 				if i%25 == 24 {
-					b.Told("fetch", 30, "entwurf")
+					b.RecordThreshold("fetch", 30, "entwurf")
 					So(b.Threshold("fetch"), ShouldBeGreaterThanOrEqualTo, 45)
 				}
 			}
 			for range 60 {
-				b.Told("fetch", Top, "")
+				b.RecordThreshold("fetch", MaxLevel, "")
 			}
-			So(b.Threshold("fetch"), ShouldEqual, Top)
+			So(b.Threshold("fetch"), ShouldEqual, MaxLevel)
 			time.Sleep(time.Minute)
-			b.Told("fetch", 3, "entwurf")
+			b.RecordThreshold("fetch", 3, "entwurf")
 			So(b.Threshold("fetch"), ShouldEqual, 3)
 		})
 	})
@@ -147,18 +147,18 @@
 func TestUnseenRanksAreNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A threshold that refuses nothing stays so when a lower rank is seen", t, func() {
-			b, m := NewBoard(), NewMeter(60)
+			b, m := NewThresholdTable(), NewDemandMeter(60)
 			for range 100 {
-				m.Arrive(3, 5*time.Millisecond, 0)
-				b.See(3)
-				b.Told("approve", m.Threshold(), "")
+				m.RecordArrival(3, 5*time.Millisecond, 0)
+				b.ObserveLevel(3)
+				b.RecordThreshold("approve", m.Threshold(), "")
 				time.Sleep(10 * time.Millisecond)
 			}
-			So(m.Threshold(), ShouldEqual, Top)
-			So(b.Threshold("approve"), ShouldEqual, Top)
-			b.See(47)
-			So(b.Threshold("approve"), ShouldEqual, Top)
-			b.Told("approve", 40, "freigabe")
+			So(m.Threshold(), ShouldEqual, MaxLevel)
+			So(b.Threshold("approve"), ShouldEqual, MaxLevel)
+			b.ObserveLevel(47)
+			So(b.Threshold("approve"), ShouldEqual, MaxLevel)
+			b.RecordThreshold("approve", 40, "freigabe")
 			So(b.Threshold("approve"), ShouldBeBetweenOrEqual, 45, 47)
 		})
 	})
@@ -168,22 +168,22 @@
 // lowest threshold of the routes that its own routes call.
 func TestBottleneckThresholdPropagatesToCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard()
-		b.See(127)
+		b := NewThresholdTable()
+		b.ObserveLevel(127)
 		Convey("The lowest threshold of the callees is reported", t, func() {
-			b.Called("dispatch", "fetch")
-			b.Called("dispatch", "other")
-			b.Told("fetch", 33, "entwurf")
-			b.Told("other", 60, "archiv")
+			b.RecordCall("dispatch", "fetch")
+			b.RecordCall("dispatch", "other")
+			b.RecordThreshold("fetch", 33, "entwurf")
+			b.RecordThreshold("other", 60, "archiv")
 			below := func(route string) string {
-				l, s := b.Below(route)
+				l, s := b.CalleeThreshold(route)
 				return fmt.Sprint(l, " ", s)
 			}
 			So(below("dispatch"), ShouldEqual, "33 entwurf")
-			So(below("fetch"), ShouldEqual, fmt.Sprint(Top, " "))
-			So(below("unknown"), ShouldEqual, fmt.Sprint(Top, " "))
+			So(below("fetch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
+			So(below("unknown"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
 			time.Sleep(time.Minute)
-			So(below("dispatch"), ShouldEqual, fmt.Sprint(Top, " "))
+			So(below("dispatch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
 		})
 	})
 }
@@ -192,10 +192,10 @@
 	Convey("Priorities have disjoint levels, and an ID maps to one level", t, func() {
 		for i := range 100 {
 			id := call.RequestID(fmt.Sprint(i))
-			So(LevelOf(1, id), ShouldBeBetweenOrEqual, Parts, 2*Parts-1)
+			So(LevelOf(1, id), ShouldBeBetweenOrEqual, LevelsPerRank, 2*LevelsPerRank-1)
 			So(LevelOf(1, id), ShouldEqual, LevelOf(1, id))
-			So(LevelOf(99, id), ShouldBeLessThanOrEqualTo, Top)
-			So(LevelOf(-1, id), ShouldBeLessThan, Parts)
+			So(LevelOf(99, id), ShouldBeLessThanOrEqualTo, MaxLevel)
+			So(LevelOf(-1, id), ShouldBeLessThan, LevelsPerRank)
 			So(RankOf(LevelOf(1, id)), ShouldEqual, 1)
 		}
 	})
--- a/admit/success_rate.go
+++ b/admit/success_rate.go
@@ -15,7 +15,7 @@
 	minSuccessRate = 1.0 / 8
 	// probeLevels is how many levels are still admitted on a failing route,
 	// to detect its recovery.
-	probeLevels = Parts / 4
+	probeLevels = LevelsPerRank / 4
 	// successSmoothing is the weight of the newest outcome in the success
 	// rate.
 	successSmoothing = 1.0 / 16
@@ -24,11 +24,12 @@
 	outcomeTTL = 2 * time.Second
 )
 
-// Prospects keeps the success rate of the admitted requests of each route.
-// It limits routes that fail for reasons other than load: a request that
-// needs eight calls to a service that fails half of them succeeds once in
-// 256 times, however much capacity there is. It is safe for concurrent use.
-type Prospects struct {
+// SuccessRateLimiter keeps the success rate of the admitted requests of each
+// route. It limits routes that fail for reasons other than load: a request
+// that needs eight calls to a service that fails half of them succeeds once
+// in 256 times, however much capacity there is. It is safe for concurrent
+// use.
+type SuccessRateLimiter struct {
 	next Admission
 
 	mu     sync.Mutex
@@ -46,18 +47,18 @@
 // stale.
 func (r routeOutcomes) stale(now time.Time) bool { return now.Sub(r.updated) > outcomeTTL }
 
-// NewProspects returns a Prospects that further limits the thresholds of
-// next.
-func NewProspects(next Admission) *Prospects {
-	return &Prospects{next: next, routes: map[string]routeOutcomes{}}
+// NewSuccessRateLimiter returns a SuccessRateLimiter that further limits the
+// thresholds of next.
+func NewSuccessRateLimiter(next Admission) *SuccessRateLimiter {
+	return &SuccessRateLimiter{next: next, routes: map[string]routeOutcomes{}}
 }
 
-// Ended records the outcome of an admitted request on a route.
-func (p *Prospects) Ended(route string, priority int, ok bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// RecordOutcome records the outcome of an admitted request on a route.
+func (l *SuccessRateLimiter) RecordOutcome(route string, priority int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	now := time.Now()
-	r := p.routes[route]
+	r := l.routes[route]
 	if r.stale(now) {
 		r.successRate, r.rank = 1, maxRank
 	}
@@ -67,18 +68,18 @@
 	}
 	r.successRate += (outcome - r.successRate) * successSmoothing
 	r.rank, r.updated = min(r.rank, rank(priority)), now
-	p.routes[route] = r
+	l.routes[route] = r
 }
 
 // Threshold implements Admission. On a route with a low success rate it
 // admits only probes.
-func (p *Prospects) Threshold(route string) call.Level {
-	threshold := p.next.Threshold(route)
-	p.mu.Lock()
-	r := p.routes[route]
-	p.mu.Unlock()
+func (l *SuccessRateLimiter) Threshold(route string) call.Level {
+	threshold := l.next.Threshold(route)
+	l.mu.Lock()
+	r := l.routes[route]
+	l.mu.Unlock()
 	if r.stale(time.Now()) || r.successRate >= minSuccessRate {
 		return threshold
 	}
-	return min(threshold, call.Level(r.rank*Parts+probeLevels-1))
+	return min(threshold, call.Level(r.rank*LevelsPerRank+probeLevels-1))
 }
--- a/admit/success_rate_test.go
+++ b/admit/success_rate_test.go
@@ -15,7 +15,7 @@
 // number of calls that succeed with the given probability. It returns how
 // many requests were admitted, how many of these failed, and the fraction of
 // all requests that succeeded.
-func offerChains(p *Prospects, rng *rand.Rand, calls int, chance float64, d time.Duration) (in, failed int, served float64) {
+func offerChains(p *SuccessRateLimiter, rng *rand.Rand, calls int, chance float64, d time.Duration) (in, failed int, served float64) {
 	n := int(35 * d.Seconds())
 	for i := range n {
 		time.Sleep(time.Second / 35)
@@ -27,7 +27,7 @@
 		for range calls {
 			ok = ok && rng.Float64() < chance
 		}
-		p.Ended("view", 2, ok)
+		p.RecordOutcome("view", 2, ok)
 		if !ok {
 			failed++
 		}
@@ -41,7 +41,7 @@
 func TestRoutesWithLowSuccessRateAreRefusedAtEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
-		p := NewProspects(Everyone{})
+		p := NewSuccessRateLimiter(Unlimited{})
 		Convey("Most are refused at entry, and all are admitted soon after the fault ends", t, func() {
 			_, _, served := offerChains(p, rng, 8, 1, 3*time.Second)
 			So(served, ShouldEqual, 1)
@@ -58,11 +58,11 @@
 		})
 		Convey("The success rate expires without requests", t, func() {
 			for range 100 {
-				p.Ended("view", 2, false)
+				p.RecordOutcome("view", 2, false)
 			}
-			So(p.Threshold("view"), ShouldEqual, 2*Parts+probeLevels-1)
+			So(p.Threshold("view"), ShouldEqual, 2*LevelsPerRank+probeLevels-1)
 			time.Sleep(outcomeTTL + time.Millisecond)
-			So(p.Threshold("view"), ShouldEqual, Top)
+			So(p.Threshold("view"), ShouldEqual, MaxLevel)
 		})
 	})
 }
--- a/admit/thresholds.go
+++ b/admit/thresholds.go
@@ -45,16 +45,16 @@
 		Threshold(route string) call.Level
 	}
 
-	// Everyone is an Admission that admits every request.
-	Everyone struct{}
-
-	// Board keeps the admission threshold of each service, as reported by
-	// responses, the services that can be the bottleneck of each route, and
-	// the routes that each route calls. Levels are comparable across routes,
-	// so responses on any route update a service's threshold; a route that
-	// is almost entirely refused has too few responses of its own. It is
-	// safe for concurrent use.
-	Board struct {
+	// Unlimited is an Admission that admits every request.
+	Unlimited struct{}
+
+	// ThresholdTable keeps the admission threshold of each service, as
+	// reported by responses, the services that can be the bottleneck of each
+	// route, and the routes that each route calls. Levels are comparable
+	// across routes, so responses on any route update a service's threshold;
+	// a route that is almost entirely refused has too few responses of its
+	// own. It is safe for concurrent use.
+	ThresholdTable struct {
 		mu       sync.Mutex
 		ceil     float64 // highest level of the lowest rank seen
 		routes   map[string]*entry
@@ -75,116 +75,116 @@
 	}
 )
 
-// Threshold implements Admission; it returns Top.
-func (Everyone) Threshold(string) call.Level { return Top }
+// Threshold implements Admission; it returns MaxLevel.
+func (Unlimited) Threshold(string) call.Level { return MaxLevel }
 
-// NewBoard returns an empty Board.
-func NewBoard() *Board {
-	return &Board{ceil: Parts - 1, routes: map[string]*entry{}, services: map[string]*estimate{}}
+// NewThresholdTable returns an empty ThresholdTable.
+func NewThresholdTable() *ThresholdTable {
+	return &ThresholdTable{ceil: LevelsPerRank - 1, routes: map[string]*entry{}, services: map[string]*estimate{}}
 }
 
-// See records a request's level. Thresholds are capped at the end of the
-// lowest rank seen, because a mean that starts far above the levels in use
-// would take long to refuse anything.
-func (b *Board) See(l call.Level) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ceil := float64((RankOf(l)+1)*Parts - 1)
-	if ceil <= b.ceil {
+// ObserveLevel records a request's level. Thresholds are capped at the end
+// of the lowest rank seen, because a mean that starts far above the levels
+// in use would take long to refuse anything.
+func (t *ThresholdTable) ObserveLevel(l call.Level) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ceil := float64((RankOf(l)+1)*LevelsPerRank - 1)
+	if ceil <= t.ceil {
 		return
 	}
-	for _, est := range b.services {
-		if est.level >= b.ceil-roundingOffset {
+	for _, est := range t.services {
+		if est.level >= t.ceil-roundingOffset {
 			est.level = ceil
 		}
 	}
-	b.ceil = ceil
+	t.ceil = ceil
 }
 
-// Told records the threshold l reported by a response on a route and the
-// service that it applies to; service is empty if no service is overloaded.
-// A response is weighted by the time since the previous one, so that an
-// instance counts by its throughput: a slow instance that admits little has
-// little weight.
-func (b *Board) Told(route string, l call.Level, service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, now := b.entry(route), time.Now()
+// RecordThreshold records the threshold l reported by a response on a route
+// and the service that it applies to; service is empty if no service is
+// overloaded. A response is weighted by the time since the previous one, so
+// that an instance counts by its throughput: a slow instance that admits
+// little has little weight.
+func (t *ThresholdTable) RecordThreshold(route string, l call.Level, service string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, now := t.entry(route), time.Now()
 	lastAnswer := e.lastAnswer
 	e.lastAnswer = now
 	if service != "" {
 		e.bottlenecks[service] = now
-		b.update(b.serviceEstimate(service, lastAnswer, now), float64(l), now)
+		t.update(t.serviceEstimate(service, lastAnswer, now), float64(l), now)
 		return
 	}
 	for s := range e.bottlenecks {
-		b.update(b.serviceEstimate(s, lastAnswer, now), b.ceil, now)
+		t.update(t.serviceEstimate(s, lastAnswer, now), t.ceil, now)
 	}
 }
 
-// Unreachable records that no instance of a route's service could be
+// RecordUnreachable records that no instance of a route's service could be
 // reached, which lowers the service's threshold.
-func (b *Board) Unreachable(route, service string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e, now := b.entry(route), time.Now()
+func (t *ThresholdTable) RecordUnreachable(route, service string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, now := t.entry(route), time.Now()
 	lastAnswer := e.lastAnswer
 	e.lastAnswer, e.bottlenecks[service] = now, now
-	est := b.serviceEstimate(service, lastAnswer, now)
-	est.level, est.updated = b.currentLevel(est, now)*(1-minAnswerWeight), now
+	est := t.serviceEstimate(service, lastAnswer, now)
+	est.level, est.updated = t.currentLevel(est, now)*(1-minAnswerWeight), now
 }
 
 // serviceEstimate returns the estimate of a service. If it has expired, it
 // is reset to admit everything as of lastAnswer, the last response on the
 // route that did not name the service.
-func (b *Board) serviceEstimate(service string, lastAnswer, now time.Time) *estimate {
-	est := b.services[service]
+func (t *ThresholdTable) serviceEstimate(service string, lastAnswer, now time.Time) *estimate {
+	est := t.services[service]
 	if est == nil {
 		est = &estimate{}
-		b.services[service] = est
+		t.services[service] = est
 	}
 	if now.Sub(est.updated) >= thresholdTTL {
-		*est = estimate{level: b.ceil, updated: lastAnswer}
+		*est = estimate{level: t.ceil, updated: lastAnswer}
 	}
 	return est
 }
 
 // update adds a reported threshold to the mean, or replaces the mean if it
 // has expired.
-func (b *Board) update(est *estimate, level float64, now time.Time) {
-	level = min(level, b.ceil)
+func (t *ThresholdTable) update(est *estimate, level float64, now time.Time) {
+	level = min(level, t.ceil)
 	if elapsed := now.Sub(est.updated); elapsed < thresholdTTL {
-		prev := b.currentLevel(est, now)
+		prev := t.currentLevel(est, now)
 		weight := min(max(float64(elapsed)/float64(averagingTime), minAnswerWeight), maxAnswerWeight)
 		level = prev + (level-prev)*weight
 	}
 	est.level, est.updated = level, now
 }
 
-// Called records that a request on a route made a call on another route.
-func (b *Board) Called(route, callee string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.entry(route).callees[callee] = time.Now()
+// RecordCall records that a request on a route made a call on another route.
+func (t *ThresholdTable) RecordCall(route, callee string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.entry(route).callees[callee] = time.Now()
 }
 
 // Threshold implements Admission. It returns the highest level admitted on a
-// route, Top if the route has no bottleneck.
-func (b *Board) Threshold(route string) call.Level {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l, _ := b.threshold(b.routes[route], time.Now())
+// route, MaxLevel if the route has no bottleneck.
+func (t *ThresholdTable) Threshold(route string) call.Level {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	l, _ := t.threshold(t.routes[route], time.Now())
 	return l
 }
 
-// Below returns the lowest threshold of the routes that a route calls and
-// the service it belongs to, or Top and an empty service if no callee is
-// restricted.
-func (b *Board) Below(route string) (call.Level, string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	lowest, service := Top, ""
-	e := b.routes[route]
+// CalleeThreshold returns the lowest threshold of the routes that a route
+// calls and the service it belongs to, or MaxLevel and an empty service if
+// no callee is restricted.
+func (t *ThresholdTable) CalleeThreshold(route string) (call.Level, string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	lowest, service := MaxLevel, ""
+	e := t.routes[route]
 	if e == nil {
 		return lowest, service
 	}
@@ -194,18 +194,18 @@
 			delete(e.callees, callee)
 			continue
 		}
-		if l, s := b.threshold(b.routes[callee], now); l < lowest {
+		if l, s := t.threshold(t.routes[callee], now); l < lowest {
 			lowest, service = l, s
 		}
 	}
 	return lowest, service
 }
 
-func (b *Board) entry(route string) *entry {
-	e := b.routes[route]
+func (t *ThresholdTable) entry(route string) *entry {
+	e := t.routes[route]
 	if e == nil {
 		e = &entry{bottlenecks: map[string]time.Time{}, callees: map[string]time.Time{}}
-		b.routes[route] = e
+		t.routes[route] = e
 	}
 	return e
 }
@@ -213,36 +213,36 @@
 // threshold returns the highest level admitted on a route and the service
 // that determines it. It rounds to the nearest level, since rounding down at
 // every hop of a call chain would refuse one level more each time. A
-// threshold that refuses nothing is returned as Top, because other nodes may
-// see lower ranks.
-func (b *Board) threshold(e *entry, now time.Time) (call.Level, string) {
-	lowest, service := b.ceil, ""
+// threshold that refuses nothing is returned as MaxLevel, because other
+// nodes may see lower ranks.
+func (t *ThresholdTable) threshold(e *entry, now time.Time) (call.Level, string) {
+	lowest, service := t.ceil, ""
 	if e == nil {
-		return Top, service
+		return MaxLevel, service
 	}
 	for s, at := range e.bottlenecks {
 		if now.Sub(at) > bottleneckTTL {
 			delete(e.bottlenecks, s)
 			continue
 		}
-		if l := b.currentLevel(b.services[s], now); l < lowest {
+		if l := t.currentLevel(t.services[s], now); l < lowest {
 			lowest, service = l, s
 		}
 	}
 	l := lowest + roundingOffset
-	if l >= b.ceil {
-		return Top, ""
+	if l >= t.ceil {
+		return MaxLevel, ""
 	}
 	return call.Level(l), service
 }
 
 // currentLevel returns a threshold including its rise since it went stale.
-func (b *Board) currentLevel(est *estimate, now time.Time) float64 {
+func (t *ThresholdTable) currentLevel(est *estimate, now time.Time) float64 {
 	if est.updated.IsZero() {
-		return b.ceil
+		return t.ceil
 	}
 	if stale := now.Sub(est.updated) - staleAfter; stale > 0 {
-		return min(est.level+recoveryRate*stale.Seconds(), b.ceil)
+		return min(est.level+recoveryRate*stale.Seconds(), t.ceil)
 	}
 	return est.level
 }
--- a/admit/thresholds_test.go
+++ b/admit/thresholds_test.go
@@ -14,20 +14,20 @@
 func TestThresholdFollowsSurgeAtLowAnswerRates(t *testing.T) {
 	for _, answers := range []int{3, 10, 100} {
 		synctest.Test(t, func(t *testing.T) {
-			b := NewBoard()
-			b.See(47)
+			b := NewThresholdTable()
+			b.ObserveLevel(47)
 			every := time.Second / time.Duration(answers)
 			for range 2 * answers {
-				b.Told("read", Top, "")
+				b.RecordThreshold("read", MaxLevel, "")
 				time.Sleep(every)
 			}
 			for range answers {
-				b.Told("read", 39, "entwurf")
+				b.RecordThreshold("read", 39, "entwurf")
 				time.Sleep(every)
 			}
 			surge := b.Threshold("read")
 			for range answers {
-				b.Told("read", Top, "")
+				b.RecordThreshold("read", MaxLevel, "")
 				time.Sleep(every)
 			}
 			Convey("The threshold falls within a second and recovers", t, func() {
@@ -43,27 +43,27 @@
 // service, or it would expire and let bursts of reads through.
 func TestThresholdOfRefusedRouteIsUpdatedByOtherRoutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard()
-		b.See(47)
-		b.Told("read", 33, "entwurf")
-		b.Told("approve", 33, "entwurf")
+		b := NewThresholdTable()
+		b.ObserveLevel(47)
+		b.RecordThreshold("read", 33, "entwurf")
+		b.RecordThreshold("approve", 33, "entwurf")
 		Convey("The threshold holds while responses on another route confirm it", t, func() {
 			for range 50 {
 				time.Sleep(200 * time.Millisecond)
-				b.Told("approve", 33, "entwurf")
+				b.RecordThreshold("approve", 33, "entwurf")
 				So(b.Threshold("read"), ShouldEqual, 33)
 			}
 			Convey("It is lifted when they report free capacity", func() {
 				for range 15 {
 					time.Sleep(200 * time.Millisecond)
-					b.Told("approve", Top, "")
+					b.RecordThreshold("approve", MaxLevel, "")
 				}
-				So(b.Threshold("read"), ShouldEqual, Top)
+				So(b.Threshold("read"), ShouldEqual, MaxLevel)
 			})
 		})
 		Convey("A route that does not use the service is not refused", t, func() {
-			b.Told("publish", Top, "")
-			So(b.Threshold("publish"), ShouldEqual, Top)
+			b.RecordThreshold("publish", MaxLevel, "")
+			So(b.Threshold("publish"), ShouldEqual, MaxLevel)
 		})
 	})
 }
@@ -72,11 +72,11 @@
 // must not refuse a whole rank.
 func TestSingleUnreachableRequestRefusesLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBoard()
-		b.See(47)
-		b.Told("read", Top, "")
+		b := NewThresholdTable()
+		b.ObserveLevel(47)
+		b.RecordThreshold("read", MaxLevel, "")
 		time.Sleep(time.Second)
-		b.Unreachable("read", "archiv")
+		b.RecordUnreachable("read", "archiv")
 		Convey("At most a third of the last rank is refused", t, func() {
 			So(b.Threshold("read"), ShouldBeGreaterThanOrEqualTo, 42)
 		})
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -28,52 +28,54 @@
 )
 
 type (
-	// Wait computes a duration from the timing of a request: how long it may
-	// wait in the queue, or after what delay a refused caller should retry.
-	Wait func(Times) time.Duration
+	// WaitFunc computes a duration from the timing of a request: how long it
+	// may wait in the queue, or after what delay a refused caller should
+	// retry.
+	WaitFunc func(RequestTiming) time.Duration
 
-	// Times describes the timing of a request.
-	Times struct {
-		Left   time.Duration // time until the caller's deadline
-		Target time.Duration // target latency of the route; 0 for none
-		Usual  time.Duration // typical latency of the route; 0 if unknown
+	// RequestTiming describes the timing of a request.
+	RequestTiming struct {
+		Remaining      time.Duration // time until the caller's deadline
+		TargetLatency  time.Duration // target latency of the route; 0 for none
+		TypicalLatency time.Duration // typical latency of the route; 0 if unknown
 	}
 )
 
-// AllItsTime lets a request wait until its deadline. It is a Wait.
-func AllItsTime(t Times) time.Duration { return max(t.Left, 0) }
+// WaitUntilDeadline lets a request wait until its deadline. It is a WaitFunc.
+func WaitUntilDeadline(t RequestTiming) time.Duration { return max(t.Remaining, 0) }
 
-// InASecond returns a fixed retry delay of one second. It is a Wait.
-func InASecond(Times) time.Duration { return time.Second }
+// RetryInOneSecond returns a fixed retry delay of one second. It is a
+// WaitFunc.
+func RetryInOneSecond(RequestTiming) time.Duration { return time.Second }
 
-// Patience returns how long a new request may wait in the queue. A standing
-// queue adds latency without adding throughput, so a request waits only as
-// long as its response can still meet the route's target latency, and is
-// otherwise refused while its caller has time to retry.
-func (t Times) Patience() time.Duration {
+// MaxQueueWait returns how long a new request may wait in the queue. A
+// standing queue adds latency without adding throughput, so a request waits
+// only as long as its response can still meet the route's target latency,
+// and is otherwise refused while its caller has time to retry.
+func (t RequestTiming) MaxQueueWait() time.Duration {
 	typical := t.typicalLatency()
-	wait := (t.Left - typical) / spareDivisor
-	if t.Target > 0 {
-		wait = min(wait, max(t.Target-typical, t.Target/minWaitDivisor))
+	wait := (t.Remaining - typical) / spareDivisor
+	if t.TargetLatency > 0 {
+		wait = min(wait, max(t.TargetLatency-typical, t.TargetLatency/minWaitDivisor))
 	}
 	return max(wait, 0)
 }
 
-// ComeBack returns the delay after which a refused caller should retry:
+// RetryAfter returns the delay after which a refused caller should retry:
 // early enough for the response to meet the route's target latency, and
 // randomized so that callers refused together do not retry together.
-func (t Times) ComeBack() time.Duration {
-	delay := min(t.Target-t.typicalLatency(), t.Left/retryDelayDivisor, maxRetryDelay)
+func (t RequestTiming) RetryAfter() time.Duration {
+	delay := min(t.TargetLatency-t.typicalLatency(), t.Remaining/retryDelayDivisor, maxRetryDelay)
 	delay = max(delay, minRetryDelay)
 	return delay/2 + rand.N(delay/2)
 }
 
-func (t Times) typicalLatency() time.Duration {
+func (t RequestTiming) typicalLatency() time.Duration {
 	switch {
-	case t.Usual > 0:
-		return t.Usual
-	case t.Target > 0:
-		return t.Target / assumedLatencyDivisor
+	case t.TypicalLatency > 0:
+		return t.TypicalLatency
+	case t.TargetLatency > 0:
+		return t.TargetLatency / assumedLatencyDivisor
 	}
-	return t.Left / assumedLatencyDivisor
+	return t.Remaining / assumedLatencyDivisor
 }
--- a/admit/wait_test.go
+++ b/admit/wait_test.go
@@ -14,17 +14,17 @@
 	Convey("The wait is bounded by the target latency and the time left for a retry", t, func() {
 		for _, c := range []struct {
 			name string
-			t    Times
+			t    RequestTiming
 			want time.Duration
 		}{
-			{"rankings", Times{Left: 600 * ms, Target: 150 * ms, Usual: 50 * ms}, 100 * ms},
-			{"approval, half of its spare time", Times{Left: 1500 * ms, Target: 2000 * ms, Usual: 500 * ms}, 500 * ms},
-			{"typical latency above target", Times{Left: 2000 * ms, Target: 400 * ms, Usual: 500 * ms}, 50 * ms},
-			{"latency unknown", Times{Left: 1000 * ms, Target: 300 * ms}, 200 * ms},
-			{"no target", Times{Left: 900 * ms}, 300 * ms},
-			{"no time to spare", Times{Left: 100 * ms, Target: 300 * ms, Usual: 120 * ms}, 0},
+			{"rankings", RequestTiming{Remaining: 600 * ms, TargetLatency: 150 * ms, TypicalLatency: 50 * ms}, 100 * ms},
+			{"approval, half of its spare time", RequestTiming{Remaining: 1500 * ms, TargetLatency: 2000 * ms, TypicalLatency: 500 * ms}, 500 * ms},
+			{"typical latency above target", RequestTiming{Remaining: 2000 * ms, TargetLatency: 400 * ms, TypicalLatency: 500 * ms}, 50 * ms},
+			{"latency unknown", RequestTiming{Remaining: 1000 * ms, TargetLatency: 300 * ms}, 200 * ms},
+			{"no target", RequestTiming{Remaining: 900 * ms}, 300 * ms},
+			{"no time to spare", RequestTiming{Remaining: 100 * ms, TargetLatency: 300 * ms, TypicalLatency: 120 * ms}, 0},
 		} {
-			So(c.name+" "+c.t.Patience().String(), ShouldEqual, c.name+" "+c.want.String())
+			So(c.name+" "+c.t.MaxQueueWait().String(), ShouldEqual, c.name+" "+c.want.String())
 		}
 	})
 }
@@ -33,15 +33,15 @@
 // that the response is of no use.
 func TestRetryDelaysAreSpreadAndWithinDeadline(t *testing.T) {
 	Convey("Delays are spread and stay within the caller's time", t, func() {
-		tm := Times{Left: 3 * time.Second, Target: 1500 * time.Millisecond, Usual: 400 * time.Millisecond}
+		tm := RequestTiming{Remaining: 3 * time.Second, TargetLatency: 1500 * time.Millisecond, TypicalLatency: 400 * time.Millisecond}
 		least, most := time.Hour, time.Duration(0)
 		for range 1000 {
-			after := tm.ComeBack()
+			after := tm.RetryAfter()
 			least, most = min(least, after), max(most, after)
 		}
 		So(most, ShouldBeLessThanOrEqualTo, time.Second)
 		So(least, ShouldBeGreaterThanOrEqualTo, 500*time.Millisecond)
 		So(most-least, ShouldBeGreaterThan, 400*time.Millisecond)
-		So(Times{Left: 90 * time.Millisecond}.ComeBack(), ShouldBeBetweenOrEqual, minRetryDelay/2, minRetryDelay)
+		So(RequestTiming{Remaining: 90 * time.Millisecond}.RetryAfter(), ShouldBeBetweenOrEqual, minRetryDelay/2, minRetryDelay)
 	})
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -77,13 +77,13 @@
 	// utilization, as fractions of its slots in use. A zero weight disables
 	// the property.
 	Weights struct {
-		Far     float64 // for an instance in another data centre
-		Fail    float64 // for an instance whose requests all fail
-		Told    float64 // of the failure rate and slowdown reported by the instance's node, 0 to 1
-		Slow    float64 // per unit of relative latency above the mean
-		Tight   float64 // the same for an action, multiplied by the fraction of its time limit that its route takes
-		Explore int     // one in Explore actions is sent to any healthy instance; 0 for none
-		Sample  int     // number of instances considered per request; 0 for all
+		RemoteDC       float64 // for an instance in another data centre
+		FailureRate    float64 // for an instance whose requests all fail
+		ReportedHealth float64 // of the failure rate and slowdown reported by the instance's node, 0 to 1
+		Latency        float64 // per unit of relative latency above the mean
+		ShortDeadline  float64 // the same for an action, multiplied by the fraction of its time limit that its route takes
+		ExploreOneIn   int     // one in ExploreOneIn actions is sent to any healthy instance; 0 for none
+		SampleSize     int     // number of instances considered per request; 0 for all
 	}
 
 	// Config configures a Balancer.
@@ -103,22 +103,22 @@
 		states      map[directory.Start]*instanceState
 	}
 
-	// Ask describes a request to be sent to one of several instances.
-	Ask struct {
+	// PickRequest describes a request to be sent to one of several instances.
+	PickRequest struct {
 		Route     string
 		Instances []directory.Instance
-		Near      []directory.Instance   // instances in the node's own data centre; optional
+		SameDC    []directory.Instance   // instances in the node's own data centre; optional
 		Tried     []directory.InstanceID // instances not to be picked
-		// Once means that the request is an action that must not be retried
-		// if it may have run.
-		Once bool
-		Time time.Duration // time limit; only used with Once
+		// NonIdempotent means that the request is an action that must not be
+		// retried if it may have run.
+		NonIdempotent bool
+		TimeLimit     time.Duration // time limit; only used with NonIdempotent
 	}
 
 	// Outcome is the result of one request to an instance.
 	Outcome struct {
 		Route       string
-		Took        time.Duration // time from sending to the response; 0 to leave the latency unchanged
+		Latency     time.Duration // time from sending to the response; 0 to leave the latency unchanged
 		Failed      bool          // the request ran and failed, or no response was received
 		Refused     bool          // the instance itself refused to run the request
 		Unreachable bool          // the instance's node could not be reached
@@ -140,9 +140,9 @@
 	}
 )
 
-// Usual returns the default weights.
-func Usual() Weights {
-	return Weights{Far: remoteDCCost, Fail: failureCost, Told: 1, Slow: slowdownCost, Tight: deadlineRiskCost, Explore: exploreOneIn, Sample: sampleSize}
+// DefaultWeights returns the default weights.
+func DefaultWeights() Weights {
+	return Weights{RemoteDC: remoteDCCost, FailureRate: failureCost, ReportedHealth: 1, Latency: slowdownCost, ShortDeadline: deadlineRiskCost, ExploreOneIn: exploreOneIn, SampleSize: sampleSize}
 }
 
 // New returns a Balancer without any data on instances.
@@ -153,11 +153,11 @@
 // Pick chooses an instance for a request and counts the request as
 // outstanding there until Done is called. ok is false if there is no
 // candidate.
-func (b *Balancer) Pick(a Ask) (in directory.Instance, ok bool) {
+func (b *Balancer) Pick(a PickRequest) (in directory.Instance, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	sel := selection{b: b, ask: &a, now: time.Now(), confirmed: anyConfirmed(a.Instances)}
-	sel.explore = a.Once && b.cfg.Weights.Explore > 0 && rand.N(b.cfg.Weights.Explore) == 0
+	sel.explore = a.NonIdempotent && b.cfg.Weights.ExploreOneIn > 0 && rand.N(b.cfg.Weights.ExploreOneIn) == 0
 	sel.run()
 	best := sel.best
 	if best == nil {
@@ -172,12 +172,12 @@
 
 // deadlineRisk returns the additional cost of an instance for an action, by
 // its relative latency on the route.
-func (b *Balancer) deadlineRisk(a *Ask, s *instanceState, now time.Time) float64 {
-	if !a.Once || a.Time <= 0 {
+func (b *Balancer) deadlineRisk(a *PickRequest, s *instanceState, now time.Time) float64 {
+	if !a.NonIdempotent || a.TimeLimit <= 0 {
 		return 0
 	}
-	fraction := min(1, float64(b.meanByRoute[a.Route])/float64(a.Time))
-	return b.cfg.Weights.Tight * fraction * s.latencyByRoute[a.Route].excess(now, routeSlowdownHalfLife)
+	fraction := min(1, float64(b.meanByRoute[a.Route])/float64(a.TimeLimit))
+	return b.cfg.Weights.ShortDeadline * fraction * s.latencyByRoute[a.Route].excess(now, routeSlowdownHalfLife)
 }
 
 // Done records the outcome of a request to the instance start at, as
@@ -201,8 +201,8 @@
 		s.load, s.outstandingAtLoad = *o.Load, s.outstanding
 		s.reportedFailing, s.reportedSlowdown, s.reportedAt = o.Load.Failing, o.Load.Slow-1, now
 	}
-	s.health.Note(o.Failed || o.Refused)
-	if o.Took > 0 {
+	s.health.Record(o.Failed || o.Refused)
+	if o.Latency > 0 {
 		b.recordLatency(s, o, now)
 	}
 }
@@ -212,26 +212,26 @@
 func (b *Balancer) recordLatency(s *instanceState, o Outcome, now time.Time) {
 	mean, ok := b.meanByRoute[o.Route]
 	if !ok {
-		mean = o.Took
+		mean = o.Latency
 	}
-	ratio := min(float64(o.Took)/float64(mean), maxRatio)
-	b.meanByRoute[o.Route] = mean + time.Duration(float64(o.Took-mean)*routeMeanSmoothing)
+	ratio := min(float64(o.Latency)/float64(mean), maxRatio)
+	b.meanByRoute[o.Route] = mean + time.Duration(float64(o.Latency-mean)*routeMeanSmoothing)
 	s.latency = s.latency.add(ratio, now)
 	s.latencyByRoute[o.Route] = s.latencyByRoute[o.Route].add(ratio, now)
 }
 
-// Knows reports whether a start of an instance has been considered for or
+// HasState reports whether a start of an instance has been considered for or
 // sent a request.
-func (b *Balancer) Knows(at directory.Start) bool {
+func (b *Balancer) HasState(at directory.Start) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.states[at]
 	return ok
 }
 
-// Keep discards the data on instance starts that v does not list and that
+// Prune discards the data on instance starts that v does not list and that
 // have no outstanding requests.
-func (b *Balancer) Keep(v *directory.View) {
+func (b *Balancer) Prune(v *directory.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for at, s := range b.states {
@@ -258,11 +258,11 @@
 		c *= coldFactor
 	}
 	if in.DC != b.cfg.DC {
-		c += b.cfg.Weights.Far
+		c += b.cfg.Weights.RemoteDC
 	}
-	c += b.cfg.Weights.Fail * b.failureRate(s)
-	excess := max(s.latency.excess(now, slowdownHalfLife), b.cfg.Weights.Told*decayed(s.reportedSlowdown, s.reportedAt))
-	c += min(maxSlowdownCost, b.cfg.Weights.Slow*excess)
+	c += b.cfg.Weights.FailureRate * b.failureRate(s)
+	excess := max(s.latency.excess(now, slowdownHalfLife), b.cfg.Weights.ReportedHealth*decayed(s.reportedSlowdown, s.reportedAt))
+	c += min(maxSlowdownCost, b.cfg.Weights.Latency*excess)
 	return c + jitter*rand.Float64()
 }
 
@@ -282,7 +282,7 @@
 // the latter covers the requests of all callers and so shows a failing
 // instance sooner.
 func (b *Balancer) failureRate(s *instanceState) float64 {
-	return max(s.health.Failing(), b.cfg.Weights.Told*decayed(s.reportedFailing, s.reportedAt))
+	return max(s.health.FailureRate(), b.cfg.Weights.ReportedHealth*decayed(s.reportedFailing, s.reportedAt))
 }
 
 // anyConfirmed reports whether any instance is neither leaving nor doubtful.
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -22,7 +22,7 @@
 func countPicks(b *Balancer, n int, outcome func(id directory.InstanceID) Outcome) map[directory.InstanceID]int {
 	count := map[directory.InstanceID]int{}
 	for range n {
-		in, ok := b.Pick(Ask{Instances: instances})
+		in, ok := b.Pick(PickRequest{Instances: instances})
 		So(ok, ShouldBeTrue)
 		count[in.ID]++
 		b.Done(in.Start(), outcome(in.ID))
@@ -36,12 +36,12 @@
 func TestLocalDataCentreIsPreferredUntilBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The local instance is used until it is nearly full", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
-			idle := func(directory.InstanceID) Outcome { return Outcome{Took: time.Millisecond, Load: loadOf(10)} }
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
+			idle := func(directory.InstanceID) Outcome { return Outcome{Latency: time.Millisecond, Load: loadOf(10)} }
 			So(countPicks(b, 100, idle)["near"], ShouldEqual, 100)
 			busy := func(id directory.InstanceID) Outcome {
 				if id == "near" {
-					return Outcome{Took: time.Millisecond, Load: loadOf(58)}
+					return Outcome{Latency: time.Millisecond, Load: loadOf(58)}
 				}
 				return idle(id)
 			}
@@ -56,7 +56,7 @@
 func TestFailingInstanceIsAvoidedUntilItRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Failures reduce an instance's share temporarily", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			n := 0
 			failing := func(id directory.InstanceID) Outcome {
 				n++
@@ -78,7 +78,7 @@
 func TestReportedFailuresTakeEffectAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("One report is enough, and its effect expires", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			reported := func(id directory.InstanceID) Outcome {
 				l := loadOf(10)
 				if id == "near" {
@@ -99,19 +99,19 @@
 func TestSlowInstanceGetsFewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Relative latency is independent of the mix of routes", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			slow := time.Duration(1)
 			run := func(n int) int {
 				near := 0
 				for i := range n {
-					in, _ := b.Pick(Ask{Instances: instances})
-					o := Outcome{Route: "short", Took: 15 * time.Millisecond, Load: loadOf(10)}
+					in, _ := b.Pick(PickRequest{Instances: instances})
+					o := Outcome{Route: "short", Latency: 15 * time.Millisecond, Load: loadOf(10)}
 					if i%5 == 0 {
-						o.Route, o.Took = "long", 500*time.Millisecond
+						o.Route, o.Latency = "long", 500*time.Millisecond
 					}
 					if in.ID == "near" {
 						near++
-						o.Took *= slow
+						o.Latency *= slow
 					}
 					b.Done(in.Start(), o)
 					time.Sleep(time.Millisecond)
@@ -132,25 +132,25 @@
 func TestActionNearItsDeadlineGoesToFastInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Approvals go to the fast remote instance, reads to the local one", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
-			run := func(a Ask, usual time.Duration, n int) (near int) {
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
+			run := func(a PickRequest, usual time.Duration, n int) (near int) {
 				a.Instances = instances
 				for range n {
 					in, _ := b.Pick(a)
-					o := Outcome{Route: a.Route, Took: usual, Load: loadOf(6)}
+					o := Outcome{Route: a.Route, Latency: usual, Load: loadOf(6)}
 					if in.ID == "near" {
 						near++
-						o.Took = usual * 3 / 2
+						o.Latency = usual * 3 / 2
 					}
 					b.Done(in.Start(), o)
 					time.Sleep(10 * time.Millisecond)
 				}
 				return near
 			}
-			approve := Ask{Route: "approve", Instances: instances, Once: true, Time: 1500 * time.Millisecond}
+			approve := PickRequest{Route: "approve", Instances: instances, NonIdempotent: true, TimeLimit: 1500 * time.Millisecond}
 			run(approve, 450*time.Millisecond, 2000)
 			So(run(approve, 450*time.Millisecond, 300), ShouldBeLessThan, 45)
-			So(run(Ask{Route: "read"}, 400*time.Millisecond, 300), ShouldBeGreaterThan, 270)
+			So(run(PickRequest{Route: "read"}, 400*time.Millisecond, 300), ShouldBeGreaterThan, 270)
 			Convey("Approvals do not go to a full instance", func() {
 				in, _ := b.Pick(approve)
 				b.Done(in.Start(), Outcome{})
@@ -174,12 +174,12 @@
 func TestUnreachableInstanceIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("It is avoided during the backoff unless no other instance is left", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
-			in, _ := b.Pick(Ask{Instances: instances})
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
+			in, _ := b.Pick(PickRequest{Instances: instances})
 			b.Done(in.Start(), Outcome{Unreachable: true})
 			healthy := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(1)} }
 			So(countPicks(b, 500, healthy)["near"], ShouldEqual, 0)
-			in, ok := b.Pick(Ask{Instances: instances, Tried: []directory.InstanceID{"far"}})
+			in, ok := b.Pick(PickRequest{Instances: instances, Tried: []directory.InstanceID{"far"}})
 			So(ok, ShouldBeTrue)
 			So(in.ID, ShouldEqual, directory.InstanceID("near"))
 			b.Done(directory.Start{ID: "near"}, Outcome{Unreachable: true})
@@ -191,12 +191,12 @@
 
 func TestLeavingAndTriedInstancesAreNotPicked(t *testing.T) {
 	Convey("Neither a leaving instance nor one already tried is picked", t, func() {
-		b := New(Config{DC: "nord", Weights: Usual()})
+		b := New(Config{DC: "nord", Weights: DefaultWeights()})
 		leaving := []directory.Instance{{ID: "a", Leaving: true}, {ID: "b"}}
-		in, ok := b.Pick(Ask{Instances: leaving})
+		in, ok := b.Pick(PickRequest{Instances: leaving})
 		So(ok, ShouldBeTrue)
 		So(in.ID, ShouldEqual, directory.InstanceID("b"))
-		_, ok = b.Pick(Ask{Instances: leaving, Tried: []directory.InstanceID{"b"}})
+		_, ok = b.Pick(PickRequest{Instances: leaving, Tried: []directory.InstanceID{"b"}})
 		So(ok, ShouldBeFalse)
 	})
 }
@@ -205,15 +205,15 @@
 // other instance at all.
 func TestDoubtfulInstancesAreLastResort(t *testing.T) {
 	Convey("A doubtful instance is picked only if there is no other at all", t, func() {
-		b := New(Config{DC: "nord", Weights: Usual()})
+		b := New(Config{DC: "nord", Weights: DefaultWeights()})
 		some := []directory.Instance{{ID: "a", Doubtful: true}, {ID: "b"}}
-		in, ok := b.Pick(Ask{Instances: some})
+		in, ok := b.Pick(PickRequest{Instances: some})
 		So(ok, ShouldBeTrue)
 		So(in.ID, ShouldEqual, directory.InstanceID("b"))
-		_, ok = b.Pick(Ask{Instances: some, Tried: []directory.InstanceID{"b"}})
+		_, ok = b.Pick(PickRequest{Instances: some, Tried: []directory.InstanceID{"b"}})
 		So(ok, ShouldBeFalse)
 		all := []directory.Instance{{ID: "a", Doubtful: true}, {ID: "b", Leaving: true}}
-		in, ok = b.Pick(Ask{Instances: all})
+		in, ok = b.Pick(PickRequest{Instances: all})
 		So(ok, ShouldBeTrue)
 		So(in.ID, ShouldEqual, directory.InstanceID("a"))
 	})
@@ -225,8 +225,8 @@
 	for _, size := range []int{10, 100} {
 		for _, sample := range []int{0, sampleSize} {
 			b.Run(fmt.Sprintf("instances=%d/sample=%d", size, sample), func(b *testing.B) {
-				w := Usual()
-				w.Sample = sample
+				w := DefaultWeights()
+				w.SampleSize = sample
 				bal := New(Config{DC: "dc-0", Weights: w})
 				var ins, near []directory.Instance
 				for i := range size {
@@ -238,8 +238,8 @@
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					in, _ := bal.Pick(Ask{Instances: ins, Near: near})
-					bal.Done(in.Start(), Outcome{Took: time.Millisecond})
+					in, _ := bal.Pick(PickRequest{Instances: ins, SameDC: near})
+					bal.Done(in.Start(), Outcome{Latency: time.Millisecond})
 				}
 			})
 		}
@@ -251,11 +251,11 @@
 func TestRestartedInstanceStartsWithoutHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The new start gets the requests of the local instance again", t, func() {
-			b := New(Config{DC: "nord", Weights: Usual()})
+			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			first := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 1000}, {ID: "far", DC: "sued", Slots: 60, Started: 1000}}
 			var late []directory.Instance
 			for range 100 {
-				in, _ := b.Pick(Ask{Instances: first})
+				in, _ := b.Pick(PickRequest{Instances: first})
 				if in.ID == "near" && len(late) < 10 {
 					late = append(late, in)
 					continue
@@ -268,11 +268,11 @@
 			}
 			near := 0
 			for range 100 {
-				in, _ := b.Pick(Ask{Instances: again})
+				in, _ := b.Pick(PickRequest{Instances: again})
 				if in.ID == "near" {
 					near++
 				}
-				b.Done(in.Start(), Outcome{Took: time.Millisecond, Load: loadOf(5)})
+				b.Done(in.Start(), Outcome{Latency: time.Millisecond, Load: loadOf(5)})
 			}
 			So(near, ShouldEqual, 100)
 		})
--- a/balance/health.go
+++ b/balance/health.go
@@ -22,8 +22,8 @@
 	lastFailure time.Time
 }
 
-// Note records the outcome of one request.
-func (h *Health) Note(failed bool) {
+// Record records the outcome of one request.
+func (h *Health) Record(failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	outcome := 0.0
@@ -41,9 +41,9 @@
 	h.failureRate, h.lastFailure = 0, time.Time{}
 }
 
-// Failing returns the failure rate, from 0 to 1, decayed by the time since
+// FailureRate returns the failure rate, from 0 to 1, decayed by the time since
 // the last failure.
-func (h *Health) Failing() float64 {
+func (h *Health) FailureRate() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return decayed(h.failureRate, h.lastFailure)
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -17,7 +17,7 @@
 // selection is the state of picking an instance for one request.
 type selection struct {
 	b         *Balancer
-	ask       *Ask
+	ask       *PickRequest
 	now       time.Time
 	confirmed bool // an instance neither leaving nor doubtful exists
 	explore   bool
@@ -29,9 +29,9 @@
 // run considers a sample of the instances, or all if none of the sample is
 // suitable.
 func (sel *selection) run() {
-	size := sel.b.cfg.Weights.Sample
+	size := sel.b.cfg.Weights.SampleSize
 	if size > 0 && len(sel.ask.Instances) > size {
-		sel.considerSome(sel.ask.Near, size/2)
+		sel.considerSome(sel.ask.SameDC, size/2)
 		sel.considerSome(sel.ask.Instances, size-size/2)
 		if sel.best != nil {
 			return
--- a/budget/chain_test.go
+++ b/budget/chain_test.go
@@ -12,19 +12,19 @@
 // tier is one service of a call chain: the retry windows of the nodes that
 // call it, and the requests that arrived.
 type tier struct {
-	senders  []*Window
+	senders  []*RetryWindow
 	requests int
 	retries  int
 }
 
 // chainOfTiers returns a chain of depth services, each called by the one
 // before it from the given number of nodes.
-func chainOfTiers(depth, nodes int, cfg WindowConfig) []*tier {
+func chainOfTiers(depth, nodes int, cfg RetryWindowConfig) []*tier {
 	var tiers []*tier
 	for range depth {
 		t := &tier{}
 		for range nodes {
-			t.senders = append(t.senders, NewWindow(cfg))
+			t.senders = append(t.senders, NewRetryWindow(cfg))
 		}
 		tiers = append(tiers, t)
 	}
@@ -49,12 +49,12 @@
 	t.requests++
 	if isRetry {
 		t.retries++
-		w.Inherit()
+		w.CountInheritedRetry()
 	} else {
-		w.First()
+		w.CountFirstTry()
 	}
 	send(r, tiers[1:], lossRate, isRetry)
-	if r.Float64() < lossRate && w.Repeat() {
+	if r.Float64() < lossRate && w.TryRetry() {
 		t.retries++
 		send(r, tiers[1:], lossRate, true)
 	}
@@ -71,7 +71,7 @@
 		Convey("Retries stay under a fifth at each tier, and nodes use the allowed ratio", t, func() {
 			r := rand.New(rand.NewPCG(1, 2))
 			// The ratio and slack of the production configuration.
-			tiers := chainOfTiers(4, 16, WindowConfig{Span: 10 * time.Second, Ratio: 0.05, Slack: 2})
+			tiers := chainOfTiers(4, 16, RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.05, MinRetries: 2})
 			for range 20000 {
 				send(r, tiers, 0.4, false)
 				time.Sleep(time.Millisecond)
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -13,15 +13,15 @@
 func TestRetriesStayWithinRatio(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Within any window", t, func() {
-			w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.1, Slack: 2})
+			w := NewRetryWindow(RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 2})
 			var at []time.Time
 			for i := range 3000 {
-				w.First()
+				w.CountFirstTry()
 				if i%50 == 0 {
-					w.Inherit()
+					w.CountInheritedRetry()
 					at = append(at, time.Now())
 				}
-				if w.Repeat() {
+				if w.TryRetry() {
 					at = append(at, time.Now())
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -38,14 +38,14 @@
 			So(len(at), ShouldBeGreaterThan, 250)
 		})
 		Convey("After a pause only the slack is left", t, func() {
-			w := NewWindow(WindowConfig{Span: 10 * time.Second, Ratio: 0.1, Slack: 2})
+			w := NewRetryWindow(RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 2})
 			for range 100 {
-				w.First()
+				w.CountFirstTry()
 			}
 			time.Sleep(11 * time.Second)
-			So(w.Repeat(), ShouldBeTrue)
-			So(w.Repeat(), ShouldBeTrue)
-			So(w.Repeat(), ShouldBeFalse)
+			So(w.TryRetry(), ShouldBeTrue)
+			So(w.TryRetry(), ShouldBeTrue)
+			So(w.TryRetry(), ShouldBeFalse)
 		})
 	})
 }
--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -72,7 +72,7 @@
 func tuning(s settings.Sidecar) sidecar.Tuning {
 	return sidecar.Tuning{
 		BodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
-		Repeats:   budget.WindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, Slack: s.RepeatSlack},
+		Repeats:   budget.RetryWindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, MinRetries: s.RepeatSlack},
 	}
 }
 
--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -152,7 +152,7 @@
 	routes.Accounts = newAccountBook(t, large, small)
 	rank := func(a *account.Account, route int) int {
 		r, total := routes.Rank(a, &testRoutes[route])
-		return admit.Squeeze(r, total)
+		return admit.ScaleRank(r, total)
 	}
 	Convey("Ranks order by account, then by route; requests without an account rank last", t, func() {
 		const read, publish, lookup, open = 0, 1, 2, 3
@@ -163,12 +163,12 @@
 	Convey("Excess ranks are merged in order", t, func() {
 		var ranks []int
 		for i := range 12 {
-			ranks = append(ranks, admit.Squeeze(i, 12))
+			ranks = append(ranks, admit.ScaleRank(i, 12))
 		}
 		So(slices.IsSorted(ranks), ShouldBeTrue)
 		So(ranks[0], ShouldEqual, 0)
 		So(ranks[11], ShouldEqual, 7)
-		So(admit.Squeeze(11, 0), ShouldEqual, 11)
+		So(admit.ScaleRank(11, 0), ShouldEqual, 11)
 	})
 }
 
@@ -236,7 +236,7 @@
 			_, got := send("k")
 			So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		}
-		n.node.admission = admit.Everyone{}
+		n.node.admission = admit.Unlimited{}
 		_, got := send("k")
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -75,17 +75,17 @@
 	}
 	ok := a.Status == call.OK
 	if ok {
-		n.totalTimes.Took(q.route.Name, elapsed)
+		n.totalTimes.Record(q.route.Name, elapsed)
 	}
 	if q.HTTP.Begun {
 		n.running.childEnded(q.ID, !ok, saturated)
 		return
 	}
 	if a.Status != call.NotRun && !canceled {
-		n.prospects.Ended(q.route.Name, q.rank, ok)
+		n.successRates.RecordOutcome(q.route.Name, q.rank, ok)
 	}
 	if ok && saturated > 0 {
-		n.costs.Took(q.route.Name, q.route.Priority, saturated)
+		n.costs.Record(q.route.Name, q.route.Priority, saturated)
 	}
 }
 
@@ -142,8 +142,8 @@
 }
 
 // requestTimes returns the durations from which wait limits are derived.
-func (n *Node) requestTimes(rt *directory.Route, remaining time.Duration) admit.Times {
-	return admit.Times{Left: remaining, Target: rt.TargetLatency, Usual: n.totalTimes.Mean(rt.Name, 0)}
+func (n *Node) requestTimes(rt *directory.Route, remaining time.Duration) admit.RequestTiming {
+	return admit.RequestTiming{Remaining: remaining, TargetLatency: rt.TargetLatency, TypicalLatency: n.totalTimes.Mean(rt.Name, 0)}
 }
 
 // targetRequest returns the request to be forwarded to the target.
@@ -170,16 +170,16 @@
 	if !ok {
 		return requestOrigin{}
 	}
-	n.thresholds.Called(parent.route, rt.Name)
+	n.thresholds.RecordCall(parent.route, rt.Name)
 	return requestOrigin{level: parent.level, child: true, retry: parent.retry}
 }
 
 // assignLevel sets the rank and admission level of a new request.
 func (n *Node) assignLevel(origin *requestOrigin, routes *directory.Routes, rt *directory.Route, id call.RequestID) {
 	rank, total := routes.Rank(origin.account, rt)
-	origin.rank = admit.Squeeze(rank, total)
-	origin.level = n.levels.Level(admit.Kind{Route: rt.Name, Priority: rt.Priority, Rank: origin.rank}, id)
-	n.thresholds.See(origin.level)
+	origin.rank = admit.ScaleRank(rank, total)
+	origin.level = n.levels.Level(admit.RequestInfo{Route: rt.Name, Priority: rt.Priority, Rank: origin.rank}, id)
+	n.thresholds.ObserveLevel(origin.level)
 }
 
 // admitNew refuses a new request that may outlast the shutdown or whose level
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -49,9 +49,9 @@
 		return n.refuseHeld(q.Request, q.quarantine)
 	}
 	if q.HTTP.Repeat {
-		n.retryBudget(q.Service).Inherit()
+		n.retryBudget(q.Service).CountInheritedRetry()
 	} else {
-		n.retryBudget(q.Service).First()
+		n.retryBudget(q.Service).CountFirstTry()
 	}
 	var att attempts
 	last := call.Refuse(q.Request, "no instance of "+q.Service, retryAfterNoInstance)
@@ -74,7 +74,7 @@
 	if att.unreachable == len(att.tried) && n.stage(q.quarantine) == quarantine.Free {
 		// No instance is reachable from here. Requests that depend on this
 		// route are then refused at the entry node, before they start.
-		n.thresholds.Unreachable(q.route.Name, q.Service)
+		n.thresholds.RecordUnreachable(q.route.Name, q.Service)
 	}
 	if last.Status == call.NotRun && last.RetryAfter == 0 {
 		last.RetryAfter = n.retryAfter(n.requestTimes(q.route, time.Until(q.deadline)))
@@ -86,16 +86,16 @@
 // target on its path is overloaded, latency is ignored for non-idempotent
 // requests. Their child requests are sent from where they run and would
 // otherwise be concentrated near the fastest instance.
-func (n *Node) pickCriteria(q *request, tried []directory.InstanceID) balance.Ask {
+func (n *Node) pickCriteria(q *request, tried []directory.InstanceID) balance.PickRequest {
 	v := n.dir.View()
-	ask := balance.Ask{Route: q.route.Name, Instances: v.Instances(q.Service), Near: v.Near(q.Service, n.cfg.DC), Tried: tried}
-	if n.thresholds.Threshold(q.route.Name) == admit.Top {
-		ask.Once, ask.Time = !q.route.Idempotent, time.Until(q.deadline)
+	pick := balance.PickRequest{Route: q.route.Name, Instances: v.Instances(q.Service), SameDC: v.Near(q.Service, n.cfg.DC), Tried: tried}
+	if n.thresholds.Threshold(q.route.Name) == admit.MaxLevel {
+		pick.NonIdempotent, pick.TimeLimit = !q.route.Idempotent, time.Until(q.deadline)
 	}
 	if n.stage(q.quarantine) == quarantine.Isolated {
-		ask.Instances, ask.Near = q.quarantine.pinnedInstance(ask.Instances, tried), nil
+		pick.Instances, pick.SameDC = q.quarantine.pinnedInstance(pick.Instances, tried), nil
 	}
-	return ask
+	return pick
 }
 
 // attempt sends the request to one instance and records the result.
@@ -116,7 +116,7 @@
 		att.mayHaveRun = true
 		o.Failed = a.Status == call.Unknown || (a.HTTP != nil && a.HTTP.Code >= 500)
 		if a.Status == call.OK {
-			o.Took = time.Since(sent)
+			o.Latency = time.Since(sent)
 		}
 	}
 	if a.Status == call.Unknown && !n.countsAgainstInstance(ctx, q, time.Since(sent)) {
@@ -126,7 +126,7 @@
 	n.recordAttempt(q.quarantine, &a)
 	n.stats.observeAttempt(q.Service, a.Status, time.Since(sent))
 	if a.Load != nil {
-		n.thresholds.Told(q.route.Name, a.Load.Admit, a.Load.Binds)
+		n.thresholds.RecordThreshold(q.route.Name, a.Load.Admit, a.Load.Binds)
 	}
 	if a.Status != call.OK {
 		n.decisions.Note("try_ended", func() log.Fields {
@@ -161,7 +161,7 @@
 	if !q.queueDeadline.IsZero() {
 		q.HTTP.Patience = max(time.Until(q.queueDeadline), minQueueWait)
 	}
-	r.Yields = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).Room()
+	r.Yields = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).CanRetry()
 	r.Remaining = time.Until(q.deadline) - peerMargin
 	if in.Addr == n.cfg.Target {
 		return n.serveLocal(ctx, r), true
@@ -205,7 +205,7 @@
 			return false
 		}
 	}
-	if att.reached >= q.route.MaxInstances || !n.retryBudget(q.Service).Repeat() {
+	if att.reached >= q.route.MaxInstances || !n.retryBudget(q.Service).TryRetry() {
 		return false
 	}
 	n.stats.countRetry(q.Service)
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -9,7 +9,7 @@
 // applyView applies a new directory view, including changes to the local
 // target.
 func (n *Node) applyView(v *directory.View) {
-	n.balancer.Keep(v)
+	n.balancer.Prune(v)
 	n.queryUnlisted(v)
 	if b := n.accountBook(); b != nil {
 		n.limiter.Keep(b)
@@ -20,13 +20,13 @@
 		return
 	}
 	if !in.Unlisted {
-		n.witness.See(in)
+		n.vouchChecker.Observe(in)
 	}
 	old := n.self.Swap(&in)
 	if old != nil && old.Start() != in.Start() {
 		// Failure statistics and connections belong to the previous process.
 		n.health.Reset()
-		n.pace.Reset()
+		n.slowdown.Reset()
 		n.target.Close()
 	}
 	if old == nil || old.Slots != in.Slots {
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -73,7 +73,7 @@
 		// BodyBytes bounds the total size of request bodies held in memory; 0
 		// means no bound.
 		BodyBytes int64
-		Repeats   budget.WindowConfig // retry budget of each service
+		Repeats   budget.RetryWindowConfig // retry budget of each service
 	}
 
 	// Node is a running sidecar. New builds one.
@@ -84,20 +84,20 @@
 		dir          *directory.Directory
 		balancer     *balance.Balancer
 		gate         *slots.Gate
-		targetTimes  *slots.Work // execution times at the local target, by route
-		pace         *slots.Pace // of the local target
-		totalTimes   *slots.Work // end-to-end times of requests that enter here, by route
-		meter        *admit.Meter
+		targetTimes  *slots.ServiceTimes      // execution times at the local target, by route
+		slowdown     *slots.SlowdownEstimator // of the local target
+		totalTimes   *slots.ServiceTimes      // end-to-end times of requests that enter here, by route
+		meter        *admit.DemandMeter
 		health       balance.Health // of the local target
-		thresholds   *admit.Board
-		costs        *admit.Costs // of requests that enter here
-		prospects    *admit.Prospects
+		thresholds   *admit.ThresholdTable
+		costs        *admit.RouteCosts // of requests that enter here
+		successRates *admit.SuccessRateLimiter
 		admission    admit.Admission
-		levels       admit.Levels
-		queueWait    admit.Wait // limits the queueing of new requests
-		retryAfter   admit.Wait // Retry-After of refused requests
+		levels       admit.LevelAssigner
+		queueWait    admit.WaitFunc // limits the queueing of new requests
+		retryAfter   admit.WaitFunc // Retry-After of refused requests
 		running      *runningRequests
-		witness      *vouch.Witness // vouches for the local instance
+		vouchChecker *vouch.Checker // vouches for the local instance
 		vouchQueries pendingQueries // for unlisted instances
 		exits        exitDetector   // of the local target
 		quarantine   *quarantine.Book
@@ -129,7 +129,7 @@
 		self           atomic.Pointer[directory.Instance]
 
 		mu           sync.Mutex
-		retryBudgets map[string]*budget.Window // by service
+		retryBudgets map[string]*budget.RetryWindow // by service
 
 		untilDrain context.Context // canceled when shutdown begins
 		startDrain context.CancelFunc
@@ -150,17 +150,17 @@
 		dir:          cfg.Directory,
 		balancer:     balance.New(cfg.Policies.balancer(cfg.DC)),
 		gate:         slots.NewGate(initialSlots, cfg.Policies.queueOrder()),
-		targetTimes:  slots.NewWork(),
-		totalTimes:   slots.NewWork(),
-		pace:         slots.NewPace(),
-		meter:        admit.NewMeter(initialSlots),
-		thresholds:   admit.NewBoard(),
-		costs:        admit.NewCosts(),
+		targetTimes:  slots.NewServiceTimes(),
+		totalTimes:   slots.NewServiceTimes(),
+		slowdown:     slots.NewSlowdownEstimator(),
+		meter:        admit.NewDemandMeter(initialSlots),
+		thresholds:   admit.NewThresholdTable(),
+		costs:        admit.NewRouteCosts(),
 		running:      newRunningRequests(),
 		target:       targetconn.NewPool(targetconn.Config{Addr: cfg.Target, Headers: cfg.Headers}),
 		peerPort:     port,
 		stats:        newStats(cfg.Name),
-		retryBudgets: map[string]*budget.Window{},
+		retryBudgets: map[string]*budget.RetryWindow{},
 		vouchQueries: pendingQueries{pending: map[directory.Start]bool{}},
 		isolation:    quarantine.NewLane(),
 		peerCursors:  cursorTable{cursors: map[membership.Addr]quarantine.Cursor{}},
@@ -178,10 +178,10 @@
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
 	n.quarantine = quarantine.NewBook(quarantine.Config{Off: !cfg.Policies.Quarantine, Log: cfg.Log})
-	n.witness = vouch.NewWitness(vouch.Config{Listed: n.listed, Probe: n.probe, SourceLost: n.dir.SourceLost})
+	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.SourceLost})
 	loadAdmission := cfg.Policies.admission(n.thresholds)
-	n.prospects = admit.NewProspects(loadAdmission)
-	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.prospects, loadAdmission)
+	n.successRates = admit.NewSuccessRateLimiter(loadAdmission)
+	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.successRates, loadAdmission)
 	n.levels = cfg.Policies.levels(n.costs)
 	n.queueWait, n.retryAfter = cfg.Policies.queueWait(), cfg.Policies.retryAfter()
 	n.tuning.Store(&cfg.Tuning)
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -22,8 +22,8 @@
 			id := r.Header.Get("Request-Id")
 			origin := v.node.originOf(requestID(id+".c1"), &testRoutes[2])
 			other := v.node.originOf(requestID("x.c1"), &testRoutes[2])
-			v.node.thresholds.Told("lookup", 0, "versand")
-			below, _ := v.node.thresholds.Below("read")
+			v.node.thresholds.RecordThreshold("lookup", 0, "versand")
+			below, _ := v.node.thresholds.CalleeThreshold("read")
 			if !origin.child || other.child || origin.level != admit.LevelOf(2, requestID(id)) || below != 0 {
 				writeSigned(w, r, http.StatusInternalServerError, "not found")
 				return
@@ -58,13 +58,13 @@
 			m.vms[0].target.handleWith(func(w http.ResponseWriter, r *http.Request) { writeSigned(w, r, http.StatusInternalServerError, "") })
 			m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		}
-		So(m.vms[1].node.health.Failing(), ShouldEqual, 0)
-		So(m.vms[0].node.health.Failing(), ShouldBeGreaterThan, 0.3)
+		So(m.vms[1].node.health.FailureRate(), ShouldEqual, 0)
+		So(m.vms[0].node.health.FailureRate(), ShouldBeGreaterThan, 0.3)
 		m.vms[1].target.handleWith(func(w http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) })
 		for range 10 {
 			m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		}
-		So(m.vms[1].node.health.Failing(), ShouldBeGreaterThan, 0.3)
+		So(m.vms[1].node.health.FailureRate(), ShouldBeGreaterThan, 0.3)
 	})
 }
 
@@ -73,7 +73,7 @@
 func TestOverloadRefusesAtEntryNode(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("A read gets 503 and does not reach the target; a publication passes", t, func() {
-		m.vms[0].node.thresholds.Told("read", 10, "archiv")
+		m.vms[0].node.thresholds.RecordThreshold("read", 10, "archiv")
 		id, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
@@ -92,7 +92,7 @@
 	Convey("The request is refused when its queue wait is over", t, func() {
 		for _, v := range m.vms[1:] {
 			for range v.node.gate.Load().Limit {
-				_, err := v.node.gate.Enter(context.Background(), slots.Ticket{Deadline: time.Now().Add(time.Minute)})
+				_, err := v.node.gate.Acquire(context.Background(), slots.Ticket{Deadline: time.Now().Add(time.Minute)})
 				So(err, ShouldBeNil)
 			}
 		}
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -64,37 +64,37 @@
 }
 
 func (p Policies) balancer(dc callgraph.DC) balance.Config {
-	w := balance.Usual()
-	w.Told = choose(p.Told, w.Told, 0)
-	w.Slow = choose(p.Speed, w.Slow, 0)
-	w.Tight = choose(p.Tight, w.Tight, 0)
-	w.Explore = choose(p.Explore, w.Explore, 0)
-	w.Sample = choose(p.Sample, w.Sample, 0)
+	w := balance.DefaultWeights()
+	w.ReportedHealth = choose(p.Told, w.ReportedHealth, 0)
+	w.Latency = choose(p.Speed, w.Latency, 0)
+	w.ShortDeadline = choose(p.Tight, w.ShortDeadline, 0)
+	w.ExploreOneIn = choose(p.Explore, w.ExploreOneIn, 0)
+	w.SampleSize = choose(p.Sample, w.SampleSize, 0)
 	return balance.Config{DC: dc, Weights: w}
 }
 
-func (p Policies) queueOrder() slots.Order {
-	return slots.Order{Parts: p.Parts}
+func (p Policies) queueOrder() slots.QueueOrder {
+	return slots.QueueOrder{ByLevel: p.Parts}
 }
 
-func (p Policies) admission(b *admit.Board) admit.Admission {
-	return choose[admit.Admission](p.Thresholds, b, admit.Everyone{})
+func (p Policies) admission(b *admit.ThresholdTable) admit.Admission {
+	return choose[admit.Admission](p.Thresholds, b, admit.Unlimited{})
 }
 
-func (p Policies) levels(c *admit.Costs) admit.Levels {
-	return choose[admit.Levels](p.Costs, c, admit.Even{})
+func (p Policies) levels(c *admit.RouteCosts) admit.LevelAssigner {
+	return choose[admit.LevelAssigner](p.Costs, c, admit.UniformLevels{})
 }
 
-func (p Policies) queueWait() admit.Wait {
-	return choose(p.Patience, admit.Times.Patience, admit.AllItsTime)
+func (p Policies) queueWait() admit.WaitFunc {
+	return choose(p.Patience, admit.RequestTiming.MaxQueueWait, admit.WaitUntilDeadline)
 }
 
-func (p Policies) retryAfter() admit.Wait {
-	return choose(p.ComeBack, admit.Times.ComeBack, admit.InASecond)
+func (p Policies) retryAfter() admit.WaitFunc {
+	return choose(p.ComeBack, admit.RequestTiming.RetryAfter, admit.RetryInOneSecond)
 }
 
-func (p Policies) retryBudget(w budget.WindowConfig) budget.WindowConfig {
-	return choose(p.Repeats, w, budget.WindowConfig{Span: w.Span})
+func (p Policies) retryBudget(w budget.RetryWindowConfig) budget.RetryWindowConfig {
+	return choose(p.Repeats, w, budget.RetryWindowConfig{Span: w.Span})
 }
 
 func (p Policies) decisionLogRate() int { return choose(p.DecisionLog, timeline.LinesPerSecond, 0) }
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -23,21 +23,21 @@
 
 func TestDisabledPoliciesUseFallbacks(t *testing.T) {
 	Convey("Each policy has a fallback", t, func() {
-		b, c := admit.NewBoard(), admit.NewCosts()
-		b.Told("read", 3, "archiv")
+		b, c := admit.NewThresholdTable(), admit.NewRouteCosts()
+		b.RecordThreshold("read", 3, "archiv")
 		on, off := Usual(), Policies{}
 		So(on.admission(b).Threshold("read"), ShouldEqual, 3)
-		So(off.admission(b).Threshold("read"), ShouldEqual, admit.Top)
+		So(off.admission(b).Threshold("read"), ShouldEqual, admit.MaxLevel)
 		So(on.levels(c), ShouldEqual, c)
-		So(off.levels(c), ShouldHaveSameTypeAs, admit.Even{})
-		So(on.queueOrder(), ShouldResemble, slots.Usual())
-		So(off.queueOrder(), ShouldResemble, slots.Order{})
-		t := admit.Times{Left: 4e9, Target: 1e9, Usual: 2e8}
-		So(on.queueWait()(t), ShouldEqual, t.Patience())
-		So(off.queueWait()(t), ShouldEqual, t.Left)
+		So(off.levels(c), ShouldHaveSameTypeAs, admit.UniformLevels{})
+		So(on.queueOrder(), ShouldResemble, slots.DefaultQueueOrder())
+		So(off.queueOrder(), ShouldResemble, slots.QueueOrder{})
+		t := admit.RequestTiming{Remaining: 4e9, TargetLatency: 1e9, TypicalLatency: 2e8}
+		So(on.queueWait()(t), ShouldEqual, t.MaxQueueWait())
+		So(off.queueWait()(t), ShouldEqual, t.Remaining)
 		So(off.retryAfter()(t), ShouldEqual, 1e9)
-		So(off.balancer("nord").Weights.Told, ShouldEqual, 0)
-		So(on.balancer("nord").Weights.Told, ShouldEqual, 1)
+		So(off.balancer("nord").Weights.ReportedHealth, ShouldEqual, 0)
+		So(on.balancer("nord").Weights.ReportedHealth, ShouldEqual, 1)
 		So(off.Directory(log.Log).AskGrace, ShouldEqual, 0)
 		So(on.Directory(log.Log).Spread, ShouldBeTrue)
 	})
--- a/sidecar/running.go
+++ b/sidecar/running.go
@@ -26,7 +26,7 @@
 		retry         bool
 		childFailed   bool          // some child request has failed
 		saturatedTime time.Duration // slot time used by child requests at saturated targets
-		progress      *slots.Run
+		progress      *slots.TrackedRequest
 	}
 )
 
@@ -62,7 +62,7 @@
 		v.childFailed = v.childFailed || failed
 		v.saturatedTime += saturated
 		r.byID[parent] = v
-		v.progress.Return()
+		v.progress.EndCall()
 	}
 }
 
@@ -76,7 +76,7 @@
 	defer r.mu.Unlock()
 	v, ok := r.byID[parent]
 	if ok {
-		v.progress.Call()
+		v.progress.BeginCall()
 	}
 	return v, ok
 }
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -89,9 +89,9 @@
 	if !n.canMeetDeadline(r, deadline) {
 		return n.withLoad(r, call.Refuse(r, "target: too slow for the time left", 0))
 	}
-	n.thresholds.See(r.HTTP.Level)
-	n.meter.Arrive(r.HTTP.Level, n.targetTimes.Mean(r.Operation, initialTargetTime), n.gate.Waiting())
-	waited, err := n.gate.Enter(ctx, slots.Ticket{Level: r.HTTP.Level, Deadline: deadline, Patience: r.HTTP.Patience})
+	n.thresholds.ObserveLevel(r.HTTP.Level)
+	n.meter.RecordArrival(r.HTTP.Level, n.targetTimes.Mean(r.Operation, initialTargetTime), n.gate.QueuedWork())
+	waited, err := n.gate.Acquire(ctx, slots.Ticket{Level: r.HTTP.Level, Deadline: deadline, MaxQueueWait: r.HTTP.Patience})
 	n.stats.observeQueueWait(r.HTTP.Begun, err == nil, waited)
 	if err != nil {
 		a := call.Refuse(r, "target: "+err.Error()+" after "+waited.String(), 0)
@@ -99,7 +99,7 @@
 		return n.withLoad(r, a)
 	}
 	if !n.stillAllowed(qs) {
-		n.gate.Leave(0)
+		n.gate.Release(0)
 		return n.withLoad(r, n.refuseHeld(r, qs))
 	}
 	if !r.HTTP.Idempotent {
@@ -110,7 +110,7 @@
 		ctx, cancel = context.WithDeadline(context.WithoutCancel(ctx), deadline)
 		defer cancel()
 	}
-	progress := n.pace.Begin(r.Operation)
+	progress := n.slowdown.Begin(r.Operation)
 	n.running.add(r.ID, runningRequest{route: r.Operation, level: r.HTTP.Level, retry: r.HTTP.Repeat, progress: progress})
 	began := time.Now()
 	a := n.callTarget(ctx, r, deadline)
@@ -118,28 +118,28 @@
 	n.recordRun(qs, &a)
 	finished := n.running.remove(r.ID)
 	progress.End(a.Status == call.OK)
-	n.health.Note(n.targetFailed(ctx, r, a, finished, took))
+	n.health.Record(n.targetFailed(ctx, r, a, finished, took))
 	saturated := finished.saturatedTime
-	if n.meter.Threshold() < admit.Top {
+	if n.meter.Threshold() < admit.MaxLevel {
 		saturated += took
 	}
 	if a.Status != call.OK {
 		took = 0
 	} else {
-		n.targetTimes.Took(r.Operation, took)
+		n.targetTimes.Record(r.Operation, took)
 	}
-	n.gate.Leave(took)
+	n.gate.Release(took)
 	a = n.withLoad(r, a)
 	a.Load.Scarce = saturated
 	return a
 }
 
 // canMeetDeadline reports whether the local target can finish a request
-// before its deadline at its current pace. If it cannot, another instance can
-// still execute the request. A few requests are let through anyway, to
-// measure the pace.
+// before its deadline at its current slowdown. If it cannot, another instance
+// can still execute the request. A few requests are let through anyway, to
+// measure the slowdown.
 func (n *Node) canMeetDeadline(r call.Request, deadline time.Time) bool {
-	if !n.cfg.Policies.Pace || n.pace.Needs(r.Operation) <= time.Until(deadline) {
+	if !n.cfg.Policies.Pace || n.slowdown.ExpectedTime(r.Operation) <= time.Until(deadline) {
 		return true
 	}
 	l := n.gate.Load()
@@ -170,8 +170,8 @@
 // threshold on the path of the request's route.
 func (n *Node) withLoad(r call.Request, a call.Answer) call.Answer {
 	l := n.gate.Load()
-	l.Failing, l.Slow = n.health.Failing(), n.pace.Slow()
-	l.Admit, l.Binds = n.thresholds.Below(r.Operation)
+	l.Failing, l.Slow = n.health.FailureRate(), n.slowdown.Slowdown()
+	l.Admit, l.Binds = n.thresholds.CalleeThreshold(r.Operation)
 	if local := n.meter.Threshold(); local < l.Admit {
 		l.Admit, l.Binds = local, n.cfg.Service
 	}
@@ -198,7 +198,7 @@
 	switch {
 	case errors.Is(err, targetconn.ErrNotSent):
 		if errors.Is(err, targetconn.ErrNobody) {
-			n.witness.Ended()
+			n.vouchChecker.RecordEnd()
 		}
 		return call.Refuse(r, err.Error(), 0)
 	case err != nil:
--- a/sidecar/stats_test.go
+++ b/sidecar/stats_test.go
@@ -46,7 +46,7 @@
 		}
 		m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		m.get(m.vms[0], "/none/")
-		m.vms[0].node.thresholds.Told("read", 0, "archiv")
+		m.vms[0].node.thresholds.RecordThreshold("read", 0, "archiv")
 		for range 40 { // one part in sixteen is still admitted
 			m.get(m.vms[0], "/read/x")
 		}
--- a/sidecar/tuning.go
+++ b/sidecar/tuning.go
@@ -8,16 +8,16 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.tuning.Store(&t)
-	n.retryBudgets = map[string]*budget.Window{}
+	n.retryBudgets = map[string]*budget.RetryWindow{}
 }
 
 // retryBudget returns the retry budget of a service.
-func (n *Node) retryBudget(service string) *budget.Window {
+func (n *Node) retryBudget(service string) *budget.RetryWindow {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	w := n.retryBudgets[service]
 	if w == nil {
-		w = budget.NewWindow(n.cfg.Policies.retryBudget(n.tuning.Load().Repeats))
+		w = budget.NewRetryWindow(n.cfg.Policies.retryBudget(n.tuning.Load().Repeats))
 		n.retryBudgets[service] = w
 	}
 	return w
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -23,7 +23,7 @@
 	// The request body is the directory.Start.
 	vouchOperation = "instance.vouch"
 	// vouchTimeout bounds one request, including the check at the other node.
-	vouchTimeout = vouch.LookWait + 150*time.Millisecond
+	vouchTimeout = vouch.CheckTimeout + 150*time.Millisecond
 )
 
 // errNoSource is returned by a node without a directory source.
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, in := range v.All() {
-		if in.Unlisted && (in.Addr == n.cfg.Target || n.balancer.Knows(in.Start())) && n.vouchQueries.begin(in.Start()) {
+		if in.Unlisted && (in.Addr == n.cfg.Target || n.balancer.HasState(in.Start())) && n.vouchQueries.begin(in.Start()) {
 			go n.trackUnlisted(in)
 		}
 	}
@@ -71,14 +71,14 @@
 // the instance is listed or removed.
 func (n *Node) trackUnlisted(in directory.Instance) {
 	defer n.vouchQueries.end(in.Start())
-	t := time.NewTicker(vouch.RenewEvery)
+	t := time.NewTicker(vouch.RenewInterval)
 	defer t.Stop()
 	for {
 		switch vouched, err := n.requestVouch(in); {
 		case err != nil:
 			n.decisions.Note("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
 		case vouched:
-			n.dir.Vouched(in.Start(), time.Now().Add(vouch.Term))
+			n.dir.Vouched(in.Start(), time.Now().Add(vouch.TTL))
 		default:
 			n.dir.Disown(in.Start())
 		}
@@ -145,7 +145,7 @@
 	if _, draining := n.drainingSince(); draining {
 		return false
 	}
-	vouched := n.witness.Vouch(ctx, start)
+	vouched := n.vouchChecker.Vouch(ctx, start)
 	if n.lastVouch.Swap(vouched) != vouched {
 		n.log.WithFields(log.Fields{"instance": start.ID, "started": start.At, "word": vouched}).Info("vouch_changed")
 	}
@@ -162,24 +162,24 @@
 
 // probe sends a health check to the local target over the pool used for
 // requests. A target that refuses it for overload yields vouch.Unknown.
-func (n *Node) probe(ctx context.Context, in directory.Instance) vouch.Fitness {
+func (n *Node) probe(ctx context.Context, in directory.Instance) vouch.ServingStatus {
 	path := n.dir.View().HealthPath(in.Service)
 	if path == "" {
-		return vouch.Unknown
+		return vouch.StatusUnknown
 	}
 	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.Target, URI: path})
 	switch {
 	case errors.Is(err, targetconn.ErrNobody):
-		n.witness.Ended()
-		return vouch.Unfit
+		n.vouchChecker.RecordEnd()
+		return vouch.NotServing
 	case err != nil && ctx.Err() == nil:
-		return vouch.Unfit
+		return vouch.NotServing
 	case err != nil, resp.Header.Get(n.cfg.Headers.NotExecuted) != "":
-		return vouch.Unknown
+		return vouch.StatusUnknown
 	case resp.Code == http.StatusOK && resp.Header.Get(n.cfg.Headers.Instance) == string(in.ID):
-		return vouch.Fit
+		return vouch.Serving
 	}
-	return vouch.Unfit
+	return vouch.NotServing
 }
 
 // peerFor returns the node next to an instance.
--- a/slots/gate.go
+++ b/slots/gate.go
@@ -20,7 +20,7 @@
 
 var (
 	// ErrTooLate is returned for a request that would miss its deadline, or
-	// that exceeded its patience in the queue.
+	// that exceeded its MaxQueueWait in the queue.
 	ErrTooLate = eris.New("would not be done in time")
 	// ErrLeaving is returned while the gate is closed because the target
 	// accepts no new requests.
@@ -32,9 +32,9 @@
 	Ticket struct {
 		Level    call.Level
 		Deadline time.Time
-		// Patience is the longest time to wait in the queue; 0 means until
+		// MaxQueueWait is the longest time to wait in the queue; 0 means until
 		// Deadline.
-		Patience time.Duration
+		MaxQueueWait time.Duration
 	}
 
 	// Gate limits the number of requests that are at a target concurrently
@@ -42,13 +42,13 @@
 	// whereas one sent to an overloaded target may remain unanswered. It is
 	// safe for concurrent use.
 	Gate struct {
-		order Order
+		order QueueOrder
 
 		mu              sync.Mutex
 		limit           int
 		busy            int
 		meanServiceTime time.Duration
-		queue           Levels[*waiter]
+		queue           PriorityQueue[*waiter]
 		closed          bool
 	}
 
@@ -61,7 +61,7 @@
 
 // NewGate returns a Gate for a target that processes limit requests
 // concurrently.
-func NewGate(limit int, order Order) *Gate {
+func NewGate(limit int, order QueueOrder) *Gate {
 	return &Gate{order: order, limit: max(limit, 1), meanServiceTime: initialServiceTime}
 }
 
@@ -74,10 +74,10 @@
 	g.admitWaiting()
 }
 
-// Enter waits until the request may be sent to the target and returns the
+// Acquire waits until the request may be sent to the target and returns the
 // time spent in the queue. The error is ErrTooLate, ErrLeaving or that of
-// ctx. If it is nil, the caller must call Leave.
-func (g *Gate) Enter(ctx context.Context, t Ticket) (time.Duration, error) {
+// ctx. If it is nil, the caller must call Release.
+func (g *Gate) Acquire(ctx context.Context, t Ticket) (time.Duration, error) {
 	g.mu.Lock()
 	if g.closed {
 		g.mu.Unlock()
@@ -90,7 +90,7 @@
 	}
 	now := time.Now()
 	expected := g.expectedWait(t)
-	if now.Add(expected+g.meanServiceTime).After(t.Deadline) || (t.Patience > 0 && expected > t.Patience) {
+	if now.Add(expected+g.meanServiceTime).After(t.Deadline) || (t.MaxQueueWait > 0 && expected > t.MaxQueueWait) {
 		g.mu.Unlock()
 		return 0, ErrTooLate
 	}
@@ -102,10 +102,10 @@
 
 func (g *Gate) wait(ctx context.Context, w *waiter) (time.Duration, error) {
 	timeout := time.Until(w.ticket.Deadline)
-	if w.ticket.Patience > 0 {
+	if w.ticket.MaxQueueWait > 0 {
 		// Requests of lower levels that arrive later are served first, so
 		// the wait can exceed expectedWait.
-		timeout = min(timeout, w.ticket.Patience)
+		timeout = min(timeout, w.ticket.MaxQueueWait)
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -123,7 +123,7 @@
 	}
 	// The request was admitted or refused concurrently.
 	if got := <-w.result; got == nil {
-		g.Leave(0)
+		g.Release(0)
 	}
 	return time.Since(w.enqueued), err
 }
@@ -140,9 +140,9 @@
 	return found
 }
 
-// Leave frees the slot of a request. took is the time it spent at the
+// Release frees the slot of a request. took is the time it spent at the
 // target, or zero to leave the mean service time unchanged.
-func (g *Gate) Leave(took time.Duration) {
+func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.busy--
@@ -177,8 +177,8 @@
 	return call.Load{Busy: g.busy, Queued: g.queue.Len(), Limit: g.limit}
 }
 
-// Waiting returns the slot time expected for the queued requests.
-func (g *Gate) Waiting() time.Duration {
+// QueuedWork returns the slot time expected for the queued requests.
+func (g *Gate) QueuedWork() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Duration(g.queue.Len()) * g.meanServiceTime
--- a/slots/gate_test.go
+++ b/slots/gate_test.go
@@ -18,12 +18,12 @@
 	return Ticket{Level: admit.LevelOf(priority, "x"), Deadline: time.Now().Add(left)}
 }
 
-// enter calls g.Enter on a new goroutine and returns a channel for its
+// enter calls g.Acquire on a new goroutine and returns a channel for its
 // error.
 func enter(ctx context.Context, g *Gate, t Ticket) <-chan error {
 	done := make(chan error, 1)
 	go func() {
-		_, err := g.Enter(ctx, t)
+		_, err := g.Acquire(ctx, t)
 		done <- err
 	}()
 	synctest.Wait()
@@ -35,20 +35,20 @@
 func TestHigherRankIsServedBeforeLowerRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The order is by rank, then by level within the rank, then by arrival", t, func() {
-			g := NewGate(1, Usual())
+			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			read := enter(ctx, g, ticket(2, time.Minute))
 			readCall := enter(ctx, g, ticket(2, time.Minute))
 			lowerPart := ticket(2, time.Minute)
-			lowerPart.Level = 2 * admit.Parts
+			lowerPart.Level = 2 * admit.LevelsPerRank
 			first := enter(ctx, g, lowerPart)
 			view := enter(ctx, g, ticket(1, time.Minute))
 			approval := enter(ctx, g, ticket(0, time.Minute))
 			approvalCall := enter(ctx, g, ticket(0, time.Minute))
 			So(g.Load().Queued, ShouldEqual, 6)
 			for _, next := range []<-chan error{approval, approvalCall, view, first, read, readCall} {
-				g.Leave(time.Millisecond)
+				g.Release(time.Millisecond)
 				So(<-next, ShouldBeNil)
 			}
 		})
@@ -56,11 +56,11 @@
 }
 
 // Requests of lower ranks in the queue must not make the expected wait
-// exceed a request's patience.
+// exceed a request's MaxQueueWait.
 func TestExpectedWaitIgnoresLowerRanks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A hundred queued calls of a lower rank do not cause a refusal", t, func() {
-			g := NewGate(2, Usual())
+			g := NewGate(2, DefaultQueueOrder())
 			ctx := context.Background()
 			for range 2 {
 				So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
@@ -69,9 +69,9 @@
 				enter(ctx, g, ticket(2, time.Minute))
 			}
 			tk := ticket(1, 3*initialServiceTime)
-			tk.Patience = initialServiceTime
+			tk.MaxQueueWait = initialServiceTime
 			view := enter(ctx, g, tk)
-			g.Leave(initialServiceTime)
+			g.Release(initialServiceTime)
 			So(<-view, ShouldBeNil)
 			g.Close()
 		})
@@ -83,7 +83,7 @@
 func TestRequestsThatWouldMissTheirDeadlineAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("At once if the expected wait is too long, at the deadline otherwise", t, func() {
-			g := NewGate(1, Usual())
+			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
@@ -94,22 +94,22 @@
 			So(time.Since(began), ShouldEqual, 3*initialServiceTime)
 			So(g.Load().Queued, ShouldEqual, 0)
 		})
-		Convey("A request is refused when its patience ends, before its deadline", t, func() {
-			g := NewGate(1, Usual())
+		Convey("A request is refused after its MaxQueueWait, before its deadline", t, func() {
+			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
 			tk := ticket(0, time.Minute)
-			tk.Patience = 2 * initialServiceTime
+			tk.MaxQueueWait = 2 * initialServiceTime
 			waiting := enter(ctx, g, tk)
 			So(errors.Is(<-waiting, ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
-			tk.Patience = initialServiceTime / 2
+			tk.MaxQueueWait = initialServiceTime / 2
 			So(errors.Is(<-enter(ctx, g, tk), ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
 		})
 		Convey("Cancelling a queued request removes it from the queue", t, func() {
-			g := NewGate(1, Usual())
+			g := NewGate(1, DefaultQueueOrder())
 			ctx, cancel := context.WithCancel(context.Background())
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			gone := enter(ctx, g, ticket(0, time.Minute))
@@ -118,7 +118,7 @@
 			So(g.Load().Queued, ShouldEqual, 0)
 		})
 		Convey("Close refuses all queued requests at once", t, func() {
-			g := NewGate(1, Usual())
+			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			waiting := enter(ctx, g, ticket(0, time.Minute))
@@ -126,7 +126,7 @@
 			So(errors.Is(<-waiting, ErrLeaving), ShouldBeTrue)
 			So(errors.Is(<-enter(ctx, g, ticket(0, time.Minute)), ErrLeaving), ShouldBeTrue)
 			g.Open()
-			g.Leave(0)
+			g.Release(0)
 			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 		})
 	})
@@ -138,7 +138,7 @@
 func TestGateNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
-			g := NewGate(3, Usual())
+			g := NewGate(3, DefaultQueueOrder())
 			limit, over := 3, 0 // over: admitted before the limit was lowered
 			var waiting []<-chan error
 			var cancels []context.CancelFunc
@@ -175,7 +175,7 @@
 						rt.Skip("no request at the target")
 					}
 					in--
-					g.Leave(time.Duration(rapid.IntRange(0, 100).Draw(rt, "took")) * time.Millisecond)
+					g.Release(time.Duration(rapid.IntRange(0, 100).Draw(rt, "took")) * time.Millisecond)
 					collect()
 				},
 				"leave": func(rt *rapid.T) {
@@ -213,28 +213,28 @@
 
 // BenchmarkGate measures a request through a gate with free slots.
 func BenchmarkGate(b *testing.B) {
-	g := NewGate(100, Usual())
+	g := NewGate(100, DefaultQueueOrder())
 	t := Ticket{Level: call.Level(3), Deadline: time.Now().Add(time.Hour)}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := g.Enter(context.Background(), t); err != nil {
+		if _, err := g.Acquire(context.Background(), t); err != nil {
 			b.Fatal(err)
 		}
-		g.Leave(time.Millisecond)
+		g.Release(time.Millisecond)
 	}
 }
 
-// BenchmarkEnterWaiting measures a request through a full gate with a
+// BenchmarkAcquireWaiting measures a request through a full gate with a
 // hundred queued requests.
-func BenchmarkEnterWaiting(b *testing.B) {
-	g := NewGate(1, Usual())
+func BenchmarkAcquireWaiting(b *testing.B) {
+	g := NewGate(1, DefaultQueueOrder())
 	ctx := context.Background()
 	far := time.Now().Add(time.Hour)
-	if _, err := g.Enter(ctx, Ticket{Deadline: far}); err != nil {
+	if _, err := g.Acquire(ctx, Ticket{Deadline: far}); err != nil {
 		b.Fatal(err)
 	}
 	for i := range 100 {
-		go g.Enter(ctx, Ticket{Level: admit.LevelOf(2, call.RequestID(rune('a'+i))), Deadline: far})
+		go g.Acquire(ctx, Ticket{Level: admit.LevelOf(2, call.RequestID(rune('a'+i))), Deadline: far})
 	}
 	for g.Load().Queued < 100 {
 		time.Sleep(time.Millisecond)
@@ -243,13 +243,13 @@
 	for b.Loop() {
 		done := make(chan struct{})
 		go func() {
-			g.Enter(ctx, Ticket{Deadline: far})
+			g.Acquire(ctx, Ticket{Deadline: far})
 			close(done)
 		}()
 		for g.Load().Queued < 101 {
 			runtime.Gosched()
 		}
-		g.Leave(0)
+		g.Release(0)
 		<-done
 	}
 	g.Close()
--- a/slots/mixed_load_test.go
+++ b/slots/mixed_load_test.go
@@ -22,7 +22,7 @@
 		// There are 15 slots. A read takes 8 x 30 ms of slot time, a release
 		// 90 ms, so reads demand 24 slots and releases 1.8.
 		const reads, releases, seconds = 100, 20, 10
-		g := NewGate(15, Usual())
+		g := NewGate(15, DefaultQueueOrder())
 		var read, released atomic.Int64
 		offer := func(perSecond int, one func(id call.RequestID)) {
 			for i := range perSecond * seconds {
@@ -38,12 +38,12 @@
 		})
 		offer(releases, func(id call.RequestID) {
 			by := time.Now().Add(1200 * time.Millisecond)
-			ticket := Ticket{Level: admit.LevelOf(2, id), Deadline: by, Patience: 200 * time.Millisecond}
-			if _, err := g.Enter(context.Background(), ticket); err != nil {
+			ticket := Ticket{Level: admit.LevelOf(2, id), Deadline: by, MaxQueueWait: 200 * time.Millisecond}
+			if _, err := g.Acquire(context.Background(), ticket); err != nil {
 				return
 			}
 			time.Sleep(90 * time.Millisecond)
-			g.Leave(90 * time.Millisecond)
+			g.Release(90 * time.Millisecond)
 			released.Add(1)
 		})
 		time.Sleep(2 * time.Second)
--- a/slots/queue.go
+++ b/slots/queue.go
@@ -1,63 +1,63 @@
 package slots
 
-// Levels is a priority queue: Pop returns the oldest entry of the lowest
-// non-empty level. The zero value is an empty queue. It is not safe for
-// concurrent use.
-type Levels[T any] struct {
+// PriorityQueue is a queue with priority levels: Pop returns the oldest
+// entry of the lowest non-empty level. The zero value is an empty queue. It
+// is not safe for concurrent use.
+type PriorityQueue[T any] struct {
 	queues [][]T
 	n      int
 }
 
 // Push adds an entry at a level, which must not be negative.
-func (l *Levels[T]) Push(level int, v T) {
-	for len(l.queues) <= level {
-		l.queues = append(l.queues, nil)
+func (q *PriorityQueue[T]) Push(level int, v T) {
+	for len(q.queues) <= level {
+		q.queues = append(q.queues, nil)
 	}
-	l.queues[level] = append(l.queues[level], v)
-	l.n++
+	q.queues[level] = append(q.queues[level], v)
+	q.n++
 }
 
 // Pop removes and returns the next entry; ok is false if the queue is empty.
-func (l *Levels[T]) Pop() (v T, ok bool) {
-	for i, q := range l.queues {
-		if len(q) == 0 {
+func (q *PriorityQueue[T]) Pop() (v T, ok bool) {
+	for i, entries := range q.queues {
+		if len(entries) == 0 {
 			continue
 		}
-		v = q[0]
+		v = entries[0]
 		var zero T
-		q[0] = zero
-		l.queues[i] = q[1:]
-		l.n--
+		entries[0] = zero
+		q.queues[i] = entries[1:]
+		q.n--
 		return v, true
 	}
 	return v, false
 }
 
 // Remove removes the entries of a level for which drop returns true.
-func (l *Levels[T]) Remove(level int, drop func(T) bool) {
-	if level >= len(l.queues) {
+func (q *PriorityQueue[T]) Remove(level int, drop func(T) bool) {
+	if level >= len(q.queues) {
 		return
 	}
 	var kept []T
-	for _, v := range l.queues[level] {
+	for _, v := range q.queues[level] {
 		if drop(v) {
-			l.n--
+			q.n--
 			continue
 		}
 		kept = append(kept, v)
 	}
-	l.queues[level] = kept
+	q.queues[level] = kept
 }
 
 // Ahead returns the number of entries that are popped before a new one at a
 // level.
-func (l *Levels[T]) Ahead(level int) int {
+func (q *PriorityQueue[T]) Ahead(level int) int {
 	n := 0
-	for i := 0; i <= level && i < len(l.queues); i++ {
-		n += len(l.queues[i])
+	for i := 0; i <= level && i < len(q.queues); i++ {
+		n += len(q.queues[i])
 	}
 	return n
 }
 
 // Len returns the number of entries.
-func (l *Levels[T]) Len() int { return l.n }
+func (q *PriorityQueue[T]) Len() int { return q.n }
--- a/slots/service_time.go
+++ b/slots/service_time.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Work keeps the mean service time by kind of request. It is safe for
+// ServiceTimes keeps the mean service time by kind of request. It is safe for
 // concurrent use.
-type Work struct {
+type ServiceTimes struct {
 	mu   sync.Mutex
 	mean map[string]time.Duration
 }
 
-// NewWork returns a Work without any samples.
-func NewWork() *Work { return &Work{mean: map[string]time.Duration{}} }
+// NewServiceTimes returns a ServiceTimes without any samples.
+func NewServiceTimes() *ServiceTimes { return &ServiceTimes{mean: map[string]time.Duration{}} }
 
-// Took records the service time of one request.
-func (w *Work) Took(kind string, d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	m, ok := w.mean[kind]
+// Record records the service time of one request.
+func (s *ServiceTimes) Record(kind string, d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	m, ok := s.mean[kind]
 	if !ok {
 		m = d
 	}
-	w.mean[kind] = m + time.Duration(float64(d-m)*smoothing)
+	s.mean[kind] = m + time.Duration(float64(d-m)*smoothing)
 }
 
 // Mean returns the mean service time of a kind, or the given default if it
 // is unknown.
-func (w *Work) Mean(kind string, otherwise time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if m, ok := w.mean[kind]; ok {
+func (s *ServiceTimes) Mean(kind string, otherwise time.Duration) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if m, ok := s.mean[kind]; ok {
 		return m
 	}
 	return otherwise
--- a/slots/slowdown_test.go
+++ b/slots/slowdown_test.go
@@ -12,9 +12,9 @@
 
 // runLoad keeps a number of requests in flight for the duration d. Their
 // service times have the given mean, multiplied by slow.
-func runLoad(p *Pace, slots int, mean, d time.Duration, slow float64) {
+func runLoad(p *SlowdownEstimator, slots int, mean, d time.Duration, slow float64) {
 	type job struct {
-		r   *Run
+		r   *TrackedRequest
 		end time.Time
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -45,18 +45,18 @@
 // second, or requests sent to it meanwhile time out.
 func TestSlowdownIsDetectedBeforeAnyCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPace()
+		p := NewSlowdownEstimator()
 		runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
 		Convey("The slowdown is detected within half a second", t, func() {
-			So(p.Needs("fetch"), ShouldBeLessThan, 200*time.Millisecond)
+			So(p.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
 			go runLoad(p, 20, 140*time.Millisecond, 2*time.Second, 12)
 			time.Sleep(500 * time.Millisecond)
-			So(p.Slow(), ShouldBeGreaterThan, 3)
-			So(p.Needs("fetch"), ShouldBeGreaterThan, 600*time.Millisecond)
+			So(p.Slowdown(), ShouldBeGreaterThan, 3)
+			So(p.ExpectedTime("fetch"), ShouldBeGreaterThan, 600*time.Millisecond)
 			time.Sleep(3 * time.Second)
 			Convey("The estimate returns to normal after recovery", func() {
 				runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
-				So(p.Needs("fetch"), ShouldBeLessThan, 200*time.Millisecond)
+				So(p.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
 			})
 		})
 	})
@@ -67,14 +67,14 @@
 func TestNoSlowdownReportedAtNormalSpeed(t *testing.T) {
 	for _, slots := range []int{1, 4, 60} {
 		synctest.Test(t, func(t *testing.T) {
-			p := NewPace()
+			p := NewSlowdownEstimator()
 			runLoad(p, slots, 140*time.Millisecond, 20*time.Second, 1)
 			go runLoad(p, slots, 140*time.Millisecond, 60*time.Second, 1)
 			slow := 0
 			const looks = 1000
 			for range looks {
 				time.Sleep(50 * time.Millisecond)
-				if p.Slow() > 1 {
+				if p.Slowdown() > 1 {
 					slow++
 				}
 			}
@@ -89,38 +89,38 @@
 // A slow downstream service must not make the calling target look slow.
 func TestTimeInOutboundCallsIsNotSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewPace()
+		p := NewSlowdownEstimator()
 		for range 40 {
 			r := p.Begin("read")
 			time.Sleep(20 * time.Millisecond)
-			r.Call()
+			r.BeginCall()
 			time.Sleep(100 * time.Millisecond)
-			r.Return()
+			r.EndCall()
 			r.End(true)
 		}
 		Convey("Only time outside of outbound calls counts", t, func() {
-			var rs []*Run
+			var rs []*TrackedRequest
 			for range 20 {
 				r := p.Begin("read")
-				r.Call()
+				r.BeginCall()
 				rs = append(rs, r)
 			}
 			time.Sleep(2 * time.Second)
-			So(p.Slow(), ShouldEqual, 1)
-			So(p.Needs("read"), ShouldEqual, 120*time.Millisecond)
+			So(p.Slowdown(), ShouldEqual, 1)
+			So(p.ExpectedTime("read"), ShouldEqual, 120*time.Millisecond)
 			for _, r := range rs {
-				r.Return()
+				r.EndCall()
 			}
 			time.Sleep(time.Second)
-			So(p.Slow(), ShouldBeGreaterThan, 5)
+			So(p.Slowdown(), ShouldBeGreaterThan, 5)
 		})
 	})
 }
 
-// BenchmarkPace measures the overhead per request with sixty others in
-// flight.
-func BenchmarkPace(b *testing.B) {
-	p := NewPace()
+// BenchmarkSlowdownEstimator measures the overhead per request with sixty
+// others in flight.
+func BenchmarkSlowdownEstimator(b *testing.B) {
+	p := NewSlowdownEstimator()
 	for range 60 {
 		p.Begin("read").End(true)
 		p.Begin("read")
@@ -128,7 +128,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r := p.Begin("read")
-		p.Needs("read")
+		p.ExpectedTime("read")
 		r.End(true)
 	}
 }
--- a/slots/surge_test.go
+++ b/slots/surge_test.go
@@ -49,11 +49,11 @@
 		if by.After(end) {
 			by = end
 		}
-		if _, err := g.Enter(context.Background(), Ticket{Level: admit.LevelOf(2, id), Deadline: by}); err != nil {
+		if _, err := g.Acquire(context.Background(), Ticket{Level: admit.LevelOf(2, id), Deadline: by}); err != nil {
 			return false
 		}
 		time.Sleep(c.serviceTime)
-		g.Leave(c.serviceTime)
+		g.Release(c.serviceTime)
 	}
 	return time.Now().Before(end)
 }
@@ -66,11 +66,11 @@
 			// 10 slots at 20 ms per call are 500 calls or 100 requests per
 			// second.
 			c := callChain{perSecond: 200, calls: 5, serviceTime: 20 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: time.Second}
-			So(c.run(NewGate(10, Usual()), 10*time.Second), ShouldBeGreaterThan, 900)
+			So(c.run(NewGate(10, DefaultQueueOrder()), 10*time.Second), ShouldBeGreaterThan, 900)
 		})
 		Convey("Below capacity, every request completes", t, func() {
 			c := callChain{perSecond: 80, calls: 5, serviceTime: 20 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: time.Second}
-			So(c.run(NewGate(10, Usual()), 10*time.Second), ShouldEqual, 800)
+			So(c.run(NewGate(10, DefaultQueueOrder()), 10*time.Second), ShouldEqual, 800)
 		})
 	})
 }
--- a/vouch/witness_test.go
+++ b/vouch/checker_test.go
@@ -15,17 +15,17 @@
 
 // fakeEnv simulates the source and the target as seen by one node.
 type fakeEnv struct {
-	listed          bool
-	sourceReachable bool // by this node
-	fitness         Fitness
-	sourceLost      time.Time // last failure of other requests to the source
-	lookups         int       // number of Listed calls
-	sourceLatency   time.Duration
-	instance        directory.Instance
+	listed            bool
+	sourceReachable   bool // by this node
+	status            ServingStatus
+	lastSourceFailure time.Time // last failure of other requests to the source
+	lookups           int       // number of Listed calls
+	sourceLatency     time.Duration
+	instance          directory.Instance
 }
 
-func (e *fakeEnv) newWitness() *Witness {
-	witness := NewWitness(Config{
+func (e *fakeEnv) newChecker() *Checker {
+	checker := NewChecker(Config{
 		Listed: func(ctx context.Context, _ directory.InstanceID) (bool, error) {
 			e.lookups++
 			if !e.sourceReachable {
@@ -38,15 +38,15 @@
 				return false, ctx.Err()
 			}
 		},
-		Probe:      func(context.Context, directory.Instance) Fitness { return e.fitness },
-		SourceLost: func() time.Time { return e.sourceLost },
+		Probe:             func(context.Context, directory.Instance) ServingStatus { return e.status },
+		LastSourceFailure: func() time.Time { return e.lastSourceFailure },
 	})
-	witness.See(e.instance)
-	return witness
+	checker.Observe(e.instance)
+	return checker
 }
 
 func newFakeEnv() *fakeEnv {
-	return &fakeEnv{listed: true, sourceReachable: true, fitness: Fit, instance: directory.Instance{ID: "i", Started: 1000, Service: "s", Slots: 4}}
+	return &fakeEnv{listed: true, sourceReachable: true, status: Serving, instance: directory.Instance{ID: "i", Started: 1000, Service: "s", Slots: 4}}
 }
 
 func (e *fakeEnv) start() directory.Start { return e.instance.Start() }
@@ -63,17 +63,17 @@
 		{"removed while the source answers", func(e *fakeEnv) { e.listed = false }, false},
 		{"the source is unreachable", func(e *fakeEnv) { e.sourceReachable, e.listed = false, false }, true},
 		{"the source exceeds the timeout", func(e *fakeEnv) { e.sourceLatency = time.Minute }, true},
-		{"unreachable, and the instance drains", func(e *fakeEnv) { e.sourceReachable, e.fitness = false, Unfit }, false},
-		{"unreachable, and the probe is inconclusive", func(e *fakeEnv) { e.sourceReachable, e.fitness = false, Unknown }, false},
-		{"reachable again just now", func(e *fakeEnv) { e.listed, e.sourceLost = false, time.Now().Add(-time.Second) }, true},
-		{"reachable again, and the instance drains", func(e *fakeEnv) { e.listed, e.fitness, e.sourceLost = false, Unfit, time.Now() }, false},
-		{"reachable again for long enough to be listed", func(e *fakeEnv) { e.listed, e.sourceLost = false, time.Now().Add(-relistGrace) }, false},
+		{"unreachable, and the instance drains", func(e *fakeEnv) { e.sourceReachable, e.status = false, NotServing }, false},
+		{"unreachable, and the probe is inconclusive", func(e *fakeEnv) { e.sourceReachable, e.status = false, StatusUnknown }, false},
+		{"reachable again just now", func(e *fakeEnv) { e.listed, e.lastSourceFailure = false, time.Now().Add(-time.Second) }, true},
+		{"reachable again, and the instance drains", func(e *fakeEnv) { e.listed, e.status, e.lastSourceFailure = false, NotServing, time.Now() }, false},
+		{"reachable again for long enough to be listed", func(e *fakeEnv) { e.listed, e.lastSourceFailure = false, time.Now().Add(-relistGrace) }, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(c.name, t, func() {
 				e := newFakeEnv()
 				c.set(e)
-				So(e.newWitness().Vouch(t.Context(), e.start()), ShouldEqual, c.want)
+				So(e.newChecker().Vouch(t.Context(), e.start()), ShouldEqual, c.want)
 			})
 		})
 	}
@@ -83,13 +83,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Neither an unseen, another nor a leaving start is vouched for", t, func() {
 			e := newFakeEnv()
-			So(NewWitness(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
-			witness := e.newWitness()
+			So(NewChecker(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
+			witness := e.newChecker()
 			So(witness.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
 			So(witness.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
 			So(witness.Vouch(t.Context(), e.start()), ShouldBeTrue)
 			e.instance.Leaving = true
-			witness.See(e.instance)
+			witness.Observe(e.instance)
 			So(witness.Vouch(t.Context(), e.start()), ShouldBeFalse)
 		})
 	})
@@ -102,12 +102,12 @@
 		Convey("A hundred nodes cause at most five checks in two seconds", t, func() {
 			e := newFakeEnv()
 			e.sourceLatency = 100 * time.Millisecond
-			witness := e.newWitness()
+			witness := e.newChecker()
 			for range 4 {
 				for range 100 {
 					go witness.Vouch(t.Context(), e.start())
 				}
-				time.Sleep(RenewEvery)
+				time.Sleep(RenewInterval)
 			}
 			So(e.lookups, ShouldBeLessThanOrEqualTo, 5)
 		})
--- a/vouch/model_test.go
+++ b/vouch/model_test.go
@@ -46,17 +46,17 @@
 	rev            directory.Revision
 
 	missedUnlisting bool // the peer could not reach the node since the entry was removed
-	witness         *Witness
+	checker         *Checker
 	peer            *directory.Directory
 	lastAsked       time.Time
 	ended           map[directory.InstanceID]time.Time // instances that left, and since when the peer could know
-	witnessSeen     bool                               // the node has read the list since it started
+	checkerSeen     bool                               // the node has read the list since it started
 }
 
 func newModel(t *rapid.T) *model {
 	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.Usual(&log.Logger{Handler: discard.New()}))}
 	m.instance = directory.Instance{ID: "i", Started: 1, Service: "s", Addr: "a:1", Slots: 4}
-	m.witness = NewWitness(Config{Listed: m.listed, Probe: m.probe, SourceLost: func() time.Time { return time.Time{} }})
+	m.checker = NewChecker(Config{Listed: m.listed, Probe: m.probe, LastSourceFailure: func() time.Time { return time.Time{} }})
 	m.running, m.upSince, m.cutsChanged = true, time.Now(), time.Now()
 	m.run(2 * reportInterval)
 	return m
@@ -69,11 +69,11 @@
 	return m.listedAtSource, nil
 }
 
-func (m *model) probe(_ context.Context, in directory.Instance) Fitness {
+func (m *model) probe(_ context.Context, in directory.Instance) ServingStatus {
 	if m.running && !m.leaving && in.ID == m.instance.ID {
-		return Fit
+		return Serving
 	}
-	return Unfit
+	return NotServing
 }
 
 // run advances the time by d and checks the invariants after each tick.
@@ -105,8 +105,8 @@
 	in.Revision = m.rev
 	m.peer.Apply([]directory.Change{{Instance: &in}}, m.rev)
 	if !m.sourceCut && !m.rejected {
-		m.witness.See(in)
-		m.witnessSeen = true
+		m.checker.Observe(in)
+		m.checkerSeen = true
 	}
 }
 
@@ -117,9 +117,9 @@
 }
 
 // ask performs the peer's requests for vouches, at once when an entry is
-// removed and then every RenewEvery.
+// removed and then every RenewInterval.
 func (m *model) ask(now time.Time) {
-	if m.peerCut || now.Sub(m.lastAsked) < RenewEvery {
+	if m.peerCut || now.Sub(m.lastAsked) < RenewInterval {
 		return
 	}
 	for _, in := range m.peer.View().All() {
@@ -131,8 +131,8 @@
 }
 
 func (m *model) askWitness(in directory.Instance) {
-	if m.witness.Vouch(context.Background(), in.Start()) {
-		m.peer.Vouched(in.Start(), time.Now().Add(Term))
+	if m.checker.Vouch(context.Background(), in.Start()) {
+		m.peer.Vouched(in.Start(), time.Now().Add(TTL))
 		return
 	}
 	m.peer.Disown(in.Start())
@@ -158,7 +158,7 @@
 	// An instance whose node was unreachable when its entry was removed is
 	// dropped until it is listed again.
 	m.missedUnlisting = !m.listedAtSource && (m.missedUnlisting || m.peerCut)
-	steady := m.running && !m.missedUnlisting && !m.leaving && m.witnessSeen && now.Sub(m.upSince) > 2*time.Second
+	steady := m.running && !m.missedUnlisting && !m.leaving && m.checkerSeen && now.Sub(m.upSince) > 2*time.Second
 	if steady && settled && !m.peerCut && m.sourceCut && (!used || in.Doubtful) {
 		m.t.Fatalf("live instance whose VM is cut off from the source is not used: %+v", in)
 	}
@@ -195,7 +195,7 @@
 	m.leftAt = time.Time{}
 	m.instance.Started++
 	m.running, m.leaving, m.upSince, m.reportAt = true, false, time.Now(), time.Now()
-	m.cutsChanged, m.witnessSeen = time.Now(), false
+	m.cutsChanged, m.checkerSeen = time.Now(), false
 }
 
 func (m *model) toggle(b *bool) {
@@ -223,8 +223,8 @@
 				"crash":               func(*rapid.T) { m.leave(false) },
 				"start again":         func(t *rapid.T) { m.restart(rapid.Bool().Draw(t, "same id")) },
 				"node restarts": func(*rapid.T) {
-					m.witness = NewWitness(Config{Listed: m.listed, Probe: m.probe, SourceLost: func() time.Time { return time.Time{} }})
-					m.witnessSeen = false
+					m.checker = NewChecker(Config{Listed: m.listed, Probe: m.probe, LastSourceFailure: func() time.Time { return time.Time{} }})
+					m.checkerSeen = false
 				},
 				"": func(t *rapid.T) {
 					m.run(time.Duration(rapid.IntRange(1, 160).Draw(t, "ticks")) * tick)
