--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -20,8 +20,8 @@
 	small = account.Account{Name: "small", Keys: []account.Digest{account.DigestOf("ks")}}
 )
 
-func newAccountBook(t testing.TB, all ...account.Account) *account.Book {
-	b, err := account.NewBook(all)
+func newAccountRegistry(t testing.TB, all ...account.Account) *account.Registry {
+	b, err := account.NewRegistry(all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 // with them. Callers need the key of account large or small.
 func newAccountMesh(t *testing.T) *mesh {
 	m := newMesh(t, "entwurf", "archiv")
-	m.accounts = newAccountBook(t, large, small)
+	m.accounts = newAccountRegistry(t, large, small)
 	m.updateAll(2)
 	return m
 }
@@ -98,7 +98,7 @@
 		So(code, ShouldEqual, http.StatusOK)
 		other := large
 		other.Keys = []account.Digest{account.DigestOf("kl2"), account.DigestOf("new")}
-		m.accounts = newAccountBook(t, other, small)
+		m.accounts = newAccountRegistry(t, other, small)
 		m.updateAll(3)
 		for key, want := range map[string]int{"kl": http.StatusUnauthorized, "kl2": http.StatusOK, "new": http.StatusOK} {
 			code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key " + key}})
@@ -106,8 +106,8 @@
 		}
 	})
 	Convey("While the source is unavailable, 503 with Retry-After", t, func() {
-		n.dir.Back()
-		n.dir.Away(time.Now(), errors.New("gone"))
+		n.dir.SourceAnswered()
+		n.dir.SourceFailed(time.Now(), errors.New("gone"))
 		id, got := m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
@@ -149,10 +149,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	routes.Accounts = newAccountBook(t, large, small)
+	routes.Accounts = newAccountRegistry(t, large, small)
 	rank := func(a *account.Account, route int) int {
 		r, total := routes.Rank(a, &testRoutes[route])
-		return admit.Squeeze(r, total)
+		return admit.ScaleRank(r, total)
 	}
 	Convey("Ranks order by account, then by route; requests without an account rank last", t, func() {
 		const read, publish, lookup, open = 0, 1, 2, 3
@@ -163,12 +163,12 @@
 	Convey("Excess ranks are merged in order", t, func() {
 		var ranks []int
 		for i := range 12 {
-			ranks = append(ranks, admit.Squeeze(i, 12))
+			ranks = append(ranks, admit.ScaleRank(i, 12))
 		}
 		So(slices.IsSorted(ranks), ShouldBeTrue)
 		So(ranks[0], ShouldEqual, 0)
 		So(ranks[11], ShouldEqual, 7)
-		So(admit.Squeeze(11, 0), ShouldEqual, 11)
+		So(admit.ScaleRank(11, 0), ShouldEqual, 11)
 	})
 }
 
@@ -204,7 +204,7 @@
 	m := newMesh(t, "entwurf", "archiv")
 	n := m.vms[0]
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 4, Burst: 2}
-	m.accounts = newAccountBook(t, limited, small)
+	m.accounts = newAccountRegistry(t, limited, small)
 	m.updateAll(2)
 	send := func(key string) (string, reply) {
 		return m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
@@ -230,13 +230,13 @@
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
 	Convey("A refusal for overload does not consume the limit", t, func() {
-		n.node.limiter.Keep(newAccountBook(t, small)) // resets the usage
+		n.node.limiter.SetRegistry(newAccountRegistry(t, small)) // resets the usage
 		n.node.admission = admitNone{}
 		for range 40 {
 			_, got := send("k")
 			So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		}
-		n.node.admission = admit.Everyone{}
+		n.node.admission = admit.Unlimited{}
 		_, got := send("k")
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
@@ -247,7 +247,7 @@
 func TestNodesShareAccountUsage(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 40, Burst: 40}
-	m.accounts = newAccountBook(t, limited)
+	m.accounts = newAccountRegistry(t, limited)
 	m.updateAll(2)
 	Convey("Both nodes together admit the limit within tolerance", t, func() {
 		const sent = 500
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -9,24 +9,24 @@
 // applyView applies a new directory view, including changes to the local
 // target.
 func (n *Node) applyView(v *directory.View) {
-	n.balancer.Keep(v)
+	n.balancer.Prune(v)
 	n.queryUnlisted(v)
-	if b := n.accountBook(); b != nil {
-		n.limiter.Keep(b)
+	if b := n.accountRegistry(); b != nil {
+		n.limiter.SetRegistry(b)
 	}
-	in, ok := v.At(n.cfg.Target)
+	in, ok := v.InstanceAt(n.cfg.Target)
 	if !ok {
 		n.self.Store(nil)
 		return
 	}
 	if !in.Unlisted {
-		n.witness.See(in)
+		n.vouchChecker.Observe(in)
 	}
 	old := n.self.Swap(&in)
 	if old != nil && old.Start() != in.Start() {
 		// Failure statistics and connections belong to the previous process.
 		n.health.Reset()
-		n.pace.Reset()
+		n.slowdown.Reset()
 		n.target.Close()
 	}
 	if old == nil || old.Slots != in.Slots {
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -73,7 +73,7 @@
 		// BodyBytes bounds the total size of request bodies held in memory; 0
 		// means no bound.
 		BodyBytes int64
-		Repeats   budget.WindowConfig // retry budget of each service
+		Repeats   budget.RetryWindowConfig // retry budget of each service
 	}
 
 	// Node is a running sidecar. New builds one.
@@ -84,26 +84,26 @@
 		dir          *directory.Directory
 		balancer     *balance.Balancer
 		gate         *slots.Gate
-		targetTimes  *slots.Work // execution times at the local target, by route
-		pace         *slots.Pace // of the local target
-		totalTimes   *slots.Work // end-to-end times of requests that enter here, by route
-		meter        *admit.Meter
+		targetTimes  *slots.ServiceTimes      // execution times at the local target, by route
+		slowdown     *slots.SlowdownEstimator // of the local target
+		totalTimes   *slots.ServiceTimes      // end-to-end times of requests that enter here, by route
+		meter        *admit.DemandMeter
 		health       balance.Health // of the local target
-		thresholds   *admit.Board
-		costs        *admit.Costs // of requests that enter here
-		prospects    *admit.Prospects
+		thresholds   *admit.ThresholdTable
+		costs        *admit.RouteCosts // of requests that enter here
+		successRates *admit.SuccessRateLimiter
 		admission    admit.Admission
-		levels       admit.Levels
-		queueWait    admit.Wait // limits the queueing of new requests
-		retryAfter   admit.Wait // Retry-After of refused requests
+		levels       admit.LevelAssigner
+		queueWait    admit.WaitFunc // limits the queueing of new requests
+		retryAfter   admit.WaitFunc // Retry-After of refused requests
 		running      *runningRequests
-		witness      *vouch.Witness // vouches for the local instance
+		vouchChecker *vouch.Checker // vouches for the local instance
 		vouchQueries pendingQueries // for unlisted instances
 		exits        exitDetector   // of the local target
-		quarantine   *quarantine.Book
-		isolation    *quarantine.Lane // restricts concurrency at the local target
-		reports      reportQueue      // outgoing quarantine reports
-		peerCursors  cursorTable      // positions in the quarantine records of peers
+		quarantine   *quarantine.Tracker
+		isolation    *quarantine.IsolationLock // restricts concurrency at the local target
+		reports      reportQueue               // outgoing quarantine reports
+		peerCursors  cursorTable               // positions in the quarantine records of peers
 		limiter      *account.Limiter
 		exchange     *account.Exchange // shares account usage between nodes
 		member       *membership.Member
@@ -129,7 +129,7 @@
 		self           atomic.Pointer[directory.Instance]
 
 		mu           sync.Mutex
-		retryBudgets map[string]*budget.Window // by service
+		retryBudgets map[string]*budget.RetryWindow // by service
 
 		untilDrain context.Context // canceled when shutdown begins
 		startDrain context.CancelFunc
@@ -150,19 +150,19 @@
 		dir:          cfg.Directory,
 		balancer:     balance.New(cfg.Policies.balancer(cfg.DC)),
 		gate:         slots.NewGate(initialSlots, cfg.Policies.queueOrder()),
-		targetTimes:  slots.NewWork(),
-		totalTimes:   slots.NewWork(),
-		pace:         slots.NewPace(),
-		meter:        admit.NewMeter(initialSlots),
-		thresholds:   admit.NewBoard(),
-		costs:        admit.NewCosts(),
+		targetTimes:  slots.NewServiceTimes(),
+		totalTimes:   slots.NewServiceTimes(),
+		slowdown:     slots.NewSlowdownEstimator(),
+		meter:        admit.NewDemandMeter(initialSlots),
+		thresholds:   admit.NewThresholdTable(),
+		costs:        admit.NewRouteCosts(),
 		running:      newRunningRequests(),
 		target:       targetconn.NewPool(targetconn.Config{Addr: cfg.Target, Headers: cfg.Headers}),
 		peerPort:     port,
 		stats:        newStats(cfg.Name),
-		retryBudgets: map[string]*budget.Window{},
+		retryBudgets: map[string]*budget.RetryWindow{},
 		vouchQueries: pendingQueries{pending: map[directory.Start]bool{}},
-		isolation:    quarantine.NewLane(),
+		isolation:    quarantine.NewIsolationLock(),
 		peerCursors:  cursorTable{cursors: map[membership.Addr]quarantine.Cursor{}},
 		stop:         make(chan struct{}),
 
@@ -177,11 +177,11 @@
 	n.member = membership.New(n.membershipConfig(self))
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
-	n.quarantine = quarantine.NewBook(quarantine.Config{Off: !cfg.Policies.Quarantine, Log: cfg.Log})
-	n.witness = vouch.NewWitness(vouch.Config{Listed: n.listed, Probe: n.probe, SourceLost: n.dir.SourceLost})
+	n.quarantine = quarantine.NewTracker(quarantine.Config{Disabled: !cfg.Policies.Quarantine, Log: cfg.Log})
+	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.LastSourceFailure})
 	loadAdmission := cfg.Policies.admission(n.thresholds)
-	n.prospects = admit.NewProspects(loadAdmission)
-	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.prospects, loadAdmission)
+	n.successRates = admit.NewSuccessRateLimiter(loadAdmission)
+	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.successRates, loadAdmission)
 	n.levels = cfg.Policies.levels(n.costs)
 	n.queueWait, n.retryAfter = cfg.Policies.queueWait(), cfg.Policies.retryAfter()
 	n.tuning.Store(&cfg.Tuning)
@@ -238,7 +238,7 @@
 // would then not recognize itself as a reader.
 func (n *Node) membershipConfig(self wire.Peer) membership.Config {
 	cfg := membership.Config{Directory: n.dir, Source: n.cfg.Source, Self: membership.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
-	cfg.Beside = func(in directory.Instance) (membership.Addr, error) {
+	cfg.NodeAddr = func(in directory.Instance) (membership.Addr, error) {
 		p, err := n.peerFor(in)
 		return membership.Addr(p.Addr), err
 	}
@@ -258,7 +258,7 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if n.dir.View().Routes == nil || !n.dir.Listed() || n.drainStart.Load() != 0 {
+	if n.dir.View().Routes == nil || !n.dir.HasSnapshot() || n.drainStart.Load() != 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
