--- a/account/tally.go
+++ b/account/aggregator.go
@@ -33,10 +33,11 @@
 )
 
 type (
-	// Tally aggregates the usage of all accounts on a data centre's collector
-	// and computes each source's standings. It keeps one token bucket per
-	// account for the whole deployment. It is safe for concurrent use.
-	Tally struct {
+	// Aggregator aggregates the usage of all accounts on a data centre's
+	// collector and computes each source's standings. It keeps one token
+	// bucket per account for the whole deployment. It is safe for
+	// concurrent use.
+	Aggregator struct {
 		mu         sync.Mutex
 		buckets    map[Name]*clusterBucket
 		lastReport map[Source]time.Time // by source
@@ -54,41 +55,41 @@
 	}
 )
 
-// NewTally returns an empty Tally.
-func NewTally() *Tally {
-	return &Tally{buckets: map[Name]*clusterBucket{}, lastReport: map[Source]time.Time{}}
+// NewAggregator returns an empty Aggregator.
+func NewAggregator() *Aggregator {
+	return &Aggregator{buckets: map[Name]*clusterBucket{}, lastReport: map[Source]time.Time{}}
 }
 
 // Add processes a report and returns the standings of the accounts in it.
-func (t *Tally) Add(b *Book, r Report) []Standing {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (g *Aggregator) Add(b *Registry, r Report) []Standing {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := time.Now()
 	switch {
 	case r.Standby:
-		t.deduct(b, r.Usage, now)
+		g.deduct(b, r.Usage, now)
 		return nil
 	case r.Moved:
-		t.removeSource(r.From)
+		g.removeSource(r.From)
 		return nil
 	}
-	interval, named := now.Sub(t.lastReport[r.From]), map[Name]bool{}
-	t.lastReport[r.From] = now
+	interval, named := now.Sub(g.lastReport[r.From]), map[Name]bool{}
+	g.lastReport[r.From] = now
 	out := make([]Standing, 0, len(r.Usage))
 	for _, u := range r.Usage {
-		a := b.Find(u.Account)
+		a := b.ByName(u.Account)
 		if a == nil || a.Rate <= 0 {
 			continue
 		}
 		named[u.Account] = true
-		c := t.bucket(a, now)
+		c := g.bucket(a, now)
 		c.tokens -= u.tokens(interval)
 		d := c.demandOf(r.From)
-		d.aggregated = r.Gathered
-		d.observe(float64(u.Asked), interval, now, c.nearLimit(a))
+		d.aggregated = r.Aggregated
+		d.observe(float64(u.Requested), interval, now, c.nearLimit(a))
 		out = append(out, c.standing(a, r.From))
 	}
-	t.recordIdle(r.From, named, interval, now)
+	g.recordIdle(r.From, named, interval, now)
 	return out
 }
 
@@ -101,36 +102,36 @@
 }
 
 // deduct deducts admitted requests without recording demand.
-func (t *Tally) deduct(b *Book, us []Usage, now time.Time) {
+func (g *Aggregator) deduct(b *Registry, us []Usage, now time.Time) {
 	for _, u := range us {
-		if a := b.Find(u.Account); a != nil && a.Rate > 0 {
-			t.bucket(a, now).tokens -= float64(u.Admitted)
+		if a := b.ByName(u.Account); a != nil && a.Rate > 0 {
+			g.bucket(a, now).tokens -= float64(u.Admitted)
 		}
 	}
 }
 
 // removeSource removes a source that reports to another collector, so that its
 // silence here is not taken for a partition.
-func (t *Tally) removeSource(from Source) {
-	delete(t.lastReport, from)
-	for _, c := range t.buckets {
+func (g *Aggregator) removeSource(from Source) {
+	delete(g.lastReport, from)
+	for _, c := range g.buckets {
 		delete(c.sources, from)
 		delete(c.reserved, from)
 	}
 }
 
-// Charged returns and clears the usage assumed for disconnected nodes of this
-// data centre, for forwarding to the others.
-func (t *Tally) Charged(b *Book) []Usage {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// TakeUnforwarded returns and clears the usage assumed for disconnected nodes
+// of this data centre, for forwarding to the others.
+func (g *Aggregator) TakeUnforwarded(b *Registry) []Usage {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	var us []Usage
 	now := time.Now()
-	maps.DeleteFunc(t.lastReport, func(_ Source, at time.Time) bool { return now.Sub(at) > reservationTTL })
-	for name, c := range t.buckets {
-		a := b.Find(name)
+	maps.DeleteFunc(g.lastReport, func(_ Source, at time.Time) bool { return now.Sub(at) > reservationTTL })
+	for name, c := range g.buckets {
+		a := b.ByName(name)
 		if a == nil {
-			delete(t.buckets, name)
+			delete(g.buckets, name)
 			continue
 		}
 		c.refill(a, now)
@@ -143,8 +144,8 @@
 }
 
 // recordIdle records zero demand for the accounts that a report does not name.
-func (t *Tally) recordIdle(from Source, named map[Name]bool, interval time.Duration, now time.Time) {
-	for name, c := range t.buckets {
+func (g *Aggregator) recordIdle(from Source, named map[Name]bool, interval time.Duration, now time.Time) {
+	for name, c := range g.buckets {
 		if d := c.sources[from]; d != nil && !named[name] {
 			d.observe(0, interval, now, false)
 			if d.rate < 1/reservationTTL.Seconds() {
@@ -155,11 +156,11 @@
 	}
 }
 
-func (t *Tally) bucket(a *Account, now time.Time) *clusterBucket {
-	c := t.buckets[a.Name]
+func (g *Aggregator) bucket(a *Account, now time.Time) *clusterBucket {
+	c := g.buckets[a.Name]
 	if c == nil {
 		c = &clusterBucket{tokens: min(a.Rate, a.Burst) * initialFill, refilledAt: now, sources: map[Source]*demand{}, reserved: map[Source]float64{}}
-		t.buckets[a.Name] = c
+		g.buckets[a.Name] = c
 	}
 	c.refill(a, now)
 	return c
@@ -259,8 +260,8 @@
 		baselineTotal += d.pastBaseline
 	}
 	d, evenShare := c.sources[from], 1/float64(len(c.sources))
-	s := Standing{Account: a.Name, Tokens: float32(c.tokens), Share: float32(ratio(d.pastBaseline, baselineTotal)), Free: !c.nearLimit(a)}
-	if !s.Free {
+	s := Standing{Account: a.Name, Tokens: float32(c.tokens), Share: float32(ratio(d.pastBaseline, baselineTotal)), Unrestricted: !c.nearLimit(a)}
+	if !s.Unrestricted {
 		s.Tokens *= float32(max(ratio(d.rate, currentTotal), evenShare))
 	}
 	return s
--- a/account/exchange.go
+++ b/account/exchange.go
@@ -34,16 +34,19 @@
 	ExchangeConfig struct {
 		Self Source // this node
 		DC   Source // its data centre
-		// Book returns the current accounts, or nil if there are none.
-		Book func() *Book
-		// Nodes returns the addresses of the collectors in order of preference:
-		// those of this data centre (own, which may include this node) and
-		// those of each other data centre. total is the number of nodes.
-		Nodes func() (own []Source, others [][]Source, total int)
-		// Tell sends a report to a node and returns its answer.
-		Tell func(ctx context.Context, at Source, r Report) ([]Standing, error)
-		// Failed is called for each report that could not be delivered.
-		Failed func(at Source, err error)
+		// Registry returns the current accounts, or nil if there are
+		// none.
+		Registry func() *Registry
+		// Collectors returns the addresses of the collectors in order
+		// of preference: those of this data centre (own, which may
+		// include this node) and those of each other data centre.
+		// total is the number of nodes.
+		Collectors func() (own []Source, others [][]Source, total int)
+		// Send sends a report to a node and returns its answer.
+		Send func(ctx context.Context, at Source, r Report) ([]Standing, error)
+		// OnError is called for each report that could not be
+		// delivered.
+		OnError func(at Source, err error)
 	}
 
 	// Exchange keeps a node's Limiter up to date. It reports local usage to one
@@ -52,9 +55,9 @@
 	// forwards it to the collectors of the other data centres. It is safe for
 	// concurrent use.
 	Exchange struct {
-		cfg     ExchangeConfig
-		limiter *Limiter
-		tally   *Tally
+		cfg        ExchangeConfig
+		limiter    *Limiter
+		aggregator *Aggregator
 
 		// Used by the reporting goroutine only.
 		lastReport   time.Time // time of this node's last report
@@ -73,20 +76,20 @@
 
 // NewExchange returns an Exchange that updates l. Run starts it.
 func NewExchange(cfg ExchangeConfig, l *Limiter) *Exchange {
-	return &Exchange{cfg: cfg, limiter: l, tally: NewTally(), pending: map[Source]map[Name]Usage{}, inFlight: map[Source]bool{}, backoffUntil: map[Source]time.Time{}}
+	return &Exchange{cfg: cfg, limiter: l, aggregator: NewAggregator(), pending: map[Source]map[Name]Usage{}, inFlight: map[Source]bool{}, backoffUntil: map[Source]time.Time{}}
 }
 
 // Run reports and forwards usage until ctx is done.
 func (x *Exchange) Run(ctx context.Context) {
-	go x.loop(ctx, func(b *Book) {
-		own, others, _ := x.cfg.Nodes()
-		x.enqueue(x.tally.Charged(b))
+	go x.loop(ctx, func(b *Registry) {
+		own, others, _ := x.cfg.Collectors()
+		x.enqueue(x.aggregator.TakeUnforwarded(b))
 		x.forward(ctx, own, others)
 	})
-	x.loop(ctx, func(b *Book) {
-		own, others, total := x.cfg.Nodes()
+	x.loop(ctx, func(b *Registry) {
+		own, others, total := x.cfg.Collectors()
 		if total > 0 {
-			x.limiter.Among(total)
+			x.limiter.SetNodeCount(total)
 		}
 		x.report(ctx, b, own, others)
 	})
@@ -94,14 +97,14 @@
 
 // loop calls f every reportInterval while there are accounts, until ctx is
 // done.
-func (x *Exchange) loop(ctx context.Context, f func(*Book)) {
+func (x *Exchange) loop(ctx context.Context, f func(*Registry)) {
 	for wait := reportInterval; ; {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(wait):
 		}
-		b := x.cfg.Book()
+		b := x.cfg.Registry()
 		if b == nil {
 			wait = idleInterval // nothing to report
 			continue
@@ -111,14 +114,14 @@
 	}
 }
 
-// Take processes a report from another node and returns the answer.
-func (x *Exchange) Take(r Report) []Standing {
-	book := x.cfg.Book()
-	if book == nil {
+// HandleReport processes a report from another node and returns the answer.
+func (x *Exchange) HandleReport(r Report) []Standing {
+	registry := x.cfg.Registry()
+	if registry == nil {
 		return nil
 	}
-	standings := x.tally.Add(book, r)
-	if r.Gathered {
+	standings := x.aggregator.Add(registry, r)
+	if r.Aggregated {
 		return nil
 	}
 	x.enqueue(r.Usage)
@@ -127,9 +130,9 @@
 
 // report sends this node's usage to a collector. While no account is near its
 // limit it does so only every idleInterval.
-func (x *Exchange) report(ctx context.Context, book *Book, own []Source, others [][]Source) {
+func (x *Exchange) report(ctx context.Context, registry *Registry, own []Source, others [][]Source) {
 	elapsed := time.Since(x.lastReport)
-	if elapsed < idleInterval-reportInterval/2 && x.failingSince.IsZero() && !x.limiter.Pressed(elapsed) {
+	if elapsed < idleInterval-reportInterval/2 && x.failingSince.IsZero() && !x.limiter.NearLimit(elapsed) {
 		return
 	}
 	us := x.limiter.Report()
@@ -143,25 +146,25 @@
 	r := Report{From: x.cfg.Self, Usage: us}
 	to, ok := x.collector(own, others)
 	if !ok {
-		x.limiter.Untold(us)
-		x.reportFailed(book)
+		x.limiter.Requeue(us)
+		x.reportFailed(registry)
 		return
 	}
 	x.switchCollector(ctx, to)
 	if to == x.cfg.Self {
-		x.applyStandings(book, x.Take(r))
+		x.applyStandings(registry, x.HandleReport(r))
 		return
 	}
 	reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	standings, err := x.cfg.Tell(reportCtx, to, r)
+	standings, err := x.cfg.Send(reportCtx, to, r)
 	if err == nil {
-		x.applyStandings(book, standings)
+		x.applyStandings(registry, standings)
 		return
 	}
-	x.limiter.Untold(us)
+	x.limiter.Requeue(us)
 	x.backOff(to, err)
-	x.reportFailed(book)
+	x.reportFailed(registry)
 }
 
 // switchCollector sets the current collector and notifies the previous one that
@@ -173,31 +176,31 @@
 	}
 	r := Report{From: x.cfg.Self, Moved: true}
 	if previous == x.cfg.Self {
-		x.Take(r)
+		x.HandleReport(r)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		if _, err := x.cfg.Tell(ctx, previous, r); err != nil {
-			x.cfg.Failed(previous, err)
+		if _, err := x.cfg.Send(ctx, previous, r); err != nil {
+			x.cfg.OnError(previous, err)
 		}
 	}()
 }
 
-func (x *Exchange) applyStandings(book *Book, standings []Standing) {
+func (x *Exchange) applyStandings(registry *Registry, standings []Standing) {
 	x.failingSince = time.Time{}
-	x.limiter.Learn(book, standings)
+	x.limiter.ApplyStandings(registry, standings)
 }
 
 // reportFailed records a failed report and isolates the limiter once reports
 // have failed for fallbackDelay.
-func (x *Exchange) reportFailed(book *Book) {
+func (x *Exchange) reportFailed(registry *Registry) {
 	if x.failingSince.IsZero() {
 		x.failingSince = time.Now()
 	}
 	if time.Since(x.failingSince) >= fallbackDelay {
-		x.limiter.Alone(book)
+		x.limiter.EnterFallback(registry)
 	}
 }
 
@@ -208,7 +211,7 @@
 	for _, queued := range x.pending {
 		for _, u := range us {
 			sum := queued[u.Account]
-			queued[u.Account] = Usage{Account: u.Account, Asked: sum.Asked + u.Asked, Admitted: sum.Admitted + u.Admitted}
+			queued[u.Account] = Usage{Account: u.Account, Requested: sum.Requested + u.Requested, Admitted: sum.Admitted + u.Admitted}
 		}
 	}
 }
@@ -239,7 +242,7 @@
 			x.clearInFlight(to)
 			continue
 		}
-		go x.forwardTo(ctx, to, Report{From: x.cfg.DC, Gathered: true, Usage: us, Standby: isCollector && slices.Contains(localCollectors, to)})
+		go x.forwardTo(ctx, to, Report{From: x.cfg.DC, Aggregated: true, Usage: us, Standby: isCollector && slices.Contains(localCollectors, to)})
 	}
 }
 
@@ -250,7 +253,7 @@
 	defer x.clearInFlight(to)
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if _, err := x.cfg.Tell(ctx, to, r); err != nil {
+	if _, err := x.cfg.Send(ctx, to, r); err != nil {
 		x.backOff(to, err)
 	}
 }
@@ -293,7 +296,7 @@
 
 // backOff reports a failure and skips the collector for collectorBackoff.
 func (x *Exchange) backOff(to Source, err error) {
-	x.cfg.Failed(to, err)
+	x.cfg.OnError(to, err)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.backoffUntil[to] = time.Now().Add(collectorBackoff)
--- a/account/fleet_test.go
+++ b/account/fleet_test.go
@@ -36,7 +36,7 @@
 	// several accounts.
 	fleet struct {
 		rng           *rand.Rand
-		book          *Book
+		registry      *Registry
 		nodes         []*node
 		dcs           int
 		partitionedDC int              // index of the disconnected data centre; -1 for none
@@ -82,7 +82,7 @@
 		}
 	}
 	var err error
-	if f.book, err = NewBook(all); err != nil {
+	if f.registry, err = NewRegistry(all); err != nil {
 		t.Fatal(err)
 	}
 	for i := range nodes {
@@ -97,8 +97,8 @@
 func (n *node) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	n.limiter, n.stop, n.alive = NewLimiter(), stop, true
-	n.x = NewExchange(ExchangeConfig{Self: n.source(), DC: Source(fmt.Sprint("dc", n.dc)), Book: func() *Book { return n.f.book },
-		Nodes: n.collectors, Tell: n.send, Failed: func(Source, error) {}}, n.limiter)
+	n.x = NewExchange(ExchangeConfig{Self: n.source(), DC: Source(fmt.Sprint("dc", n.dc)), Registry: func() *Registry { return n.f.registry },
+		Collectors: n.collectors, Send: n.send, OnError: func(Source, error) {}}, n.limiter)
 	go n.x.Run(ctx)
 }
 
@@ -139,9 +139,9 @@
 	if !peer.alive || !n.alive {
 		return nil, errPartitioned
 	}
-	standings := peer.x.Take(r)
+	standings := peer.x.HandleReport(r)
 	n.f.countBytes(r)
-	n.f.countBytes(Standings{Of: standings})
+	n.f.countBytes(Standings{Entries: standings})
 	wait(networkDelay)
 	return standings, ctx.Err()
 }
@@ -157,8 +157,8 @@
 // run simulates requests for a duration.
 func (f *fleet) run(d time.Duration) {
 	for range d / tickInterval {
-		for i := range f.book.All() {
-			a := &f.book.All()[i]
+		for i := range f.registry.All() {
+			a := &f.registry.All()[i]
 			for range f.poisson(f.baseRate[a.Name] * max(f.load[a.Name], 1) * tickInterval.Seconds()) {
 				n := f.nodes[f.entryNodes[a.Name][f.rng.IntN(len(f.entryNodes[a.Name]))]]
 				if !n.alive {
@@ -167,7 +167,7 @@
 				if !n.partitioned {
 					f.requested[a.Name]++
 				}
-				if ok, retryAfter := n.limiter.Take(a); ok {
+				if ok, retryAfter := n.limiter.Allow(a); ok {
 					f.admitted[a.Name] = append(f.admitted[a.Name], time.Now())
 				} else {
 					if !n.partitioned {
@@ -196,8 +196,8 @@
 func (f *fleet) worstWindow() (Name, float64) {
 	var worst Name
 	var most float64
-	for i := range f.book.All() {
-		a := &f.book.All()[i]
+	for i := range f.registry.All() {
+		a := &f.registry.All()[i]
 		allowed := (a.Rate*limitWindow.Seconds()+a.Burst)*limitTolerance + limitSlack
 		times, from := f.admitted[a.Name], 0
 		for to := range times {
@@ -283,7 +283,7 @@
 			f.load[which] = surgeFactor
 			f.resetCounts()
 			f.run(8 * time.Second)
-			a := f.book.Find(which)
+			a := f.registry.ByName(which)
 			got := f.requested[which] - f.refused[which]
 			Convey("It gets most of its limit, and other accounts are not refused", t, func() {
 				So(float64(got), ShouldBeGreaterThan, 0.75*a.Rate*8)
@@ -394,14 +394,14 @@
 	runOnFleets(t, fleetSizes, func(t *testing.T, f *fleet) {
 		f.load["a0"] = surgeFactor
 		f.run(4 * time.Second)
-		all := slices.Clone(f.book.All())
+		all := slices.Clone(f.registry.All())
 		all[0].Rate, all[0].Burst = all[0].Rate/4, all[0].Burst/4
 		var err error
-		if f.book, err = NewBook(all); err != nil {
+		if f.registry, err = NewRegistry(all); err != nil {
 			t.Fatal(err)
 		}
 		for _, n := range f.nodes {
-			n.limiter.Keep(f.book)
+			n.limiter.SetRegistry(f.registry)
 		}
 		f.run(limitWindow)
 		clear(f.admitted)
--- a/account/limiter.go
+++ b/account/limiter.go
@@ -8,9 +8,9 @@
 const (
 	// maxRetryAfter bounds the retry delay given to a refused caller.
 	maxRetryAfter = 5 * time.Second
-	// isolatedTokens is the least capacity of an account's bucket while the
-	// node cannot reach a collector.
-	isolatedTokens = 1
+	// fallbackTokens is the least capacity of an account's bucket while
+	// the node cannot reach a collector.
+	fallbackTokens = 1
 	// standingTTL is how long an unrestricted standing is valid. Without it, a
 	// node that is disconnected as a surge begins would admit the account's
 	// full rate.
@@ -21,12 +21,13 @@
 )
 
 type (
-	// Limiter enforces the accounts' rate limits at one node, based on the last
-	// standings from a collector's Tally. It is safe for concurrent use.
+	// Limiter enforces the accounts' rate limits at one node, based on the
+	// last standings from a collector's Aggregator. It is safe for
+	// concurrent use.
 	Limiter struct {
 		mu       sync.Mutex
 		buckets  map[Name]*bucket
-		isolated bool // no collector is reachable
+		fallback bool // no collector is reachable
 		nodes    int  // number of nodes, as last reported
 	}
 
@@ -57,12 +58,13 @@
 // the first standings arrive, since usage before a restart of all nodes still
 // counts.
 func NewLimiter() *Limiter {
-	return &Limiter{buckets: map[Name]*bucket{}, nodes: 1, isolated: true}
+	return &Limiter{buckets: map[Name]*bucket{}, nodes: 1, fallback: true}
 }
 
-// Take takes a token for a request of the account. If there is none, it returns
-// false and when the caller should retry. A nil account is not limited.
-func (l *Limiter) Take(a *Account) (ok bool, retryAfter time.Duration) {
+// Allow takes a token for a request of the account. If there is none, it
+// returns false and when the caller should retry. A nil account is not
+// limited.
+func (l *Limiter) Allow(a *Account) (ok bool, retryAfter time.Duration) {
 	if a == nil || a.Rate <= 0 {
 		return true, 0
 	}
@@ -83,8 +85,8 @@
 	return false, b.scheduleRetry(now)
 }
 
-// Return gives back the token of a request that was not run.
-func (l *Limiter) Return(a *Account) {
+// Refund gives back the token of a request that was not run.
+func (l *Limiter) Refund(a *Account) {
 	if a == nil || a.Rate <= 0 {
 		return
 	}
@@ -103,8 +105,8 @@
 	b := l.buckets[a.Name]
 	if b == nil {
 		b = &bucket{tokens: bucketCapacity(a), refilledAt: now, rate: a.Rate, capacity: bucketCapacity(a)}
-		if l.isolated {
-			b.restrict(a, 1/float64(l.nodes), isolatedTokens)
+		if l.fallback {
+			b.restrict(a, 1/float64(l.nodes), fallbackTokens)
 		}
 		l.buckets[a.Name] = b
 	}
@@ -142,7 +144,7 @@
 	var us []Usage
 	for name, b := range l.buckets {
 		if b.requested > 0 || b.admitted != 0 || b.reported {
-			us = append(us, Usage{Account: name, Asked: b.requested, Admitted: b.admitted})
+			us = append(us, Usage{Account: name, Requested: b.requested, Admitted: b.admitted})
 		}
 		b.reported = b.requested > 0
 		b.requested, b.admitted = 0, 0
@@ -150,9 +152,10 @@
 	return us
 }
 
-// Pressed reports whether an account in use is near its limit or exceeded this
-// node's share over the elapsed time, so that usage must be reported soon.
-func (l *Limiter) Pressed(elapsed time.Duration) bool {
+// NearLimit reports whether an account in use is near its limit or exceeded
+// this node's share over the elapsed time, so that usage must be reported
+// soon.
+func (l *Limiter) NearLimit(elapsed time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, b := range l.buckets {
@@ -163,26 +166,27 @@
 	return false
 }
 
-// Untold puts back the usage of a report that failed, to be sent with the next.
-func (l *Limiter) Untold(us []Usage) {
+// Requeue puts back the usage of a report that failed, to be sent with the
+// next.
+func (l *Limiter) Requeue(us []Usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range us {
 		if b := l.buckets[u.Account]; b != nil {
-			b.requested += u.Asked
+			b.requested += u.Requested
 			b.admitted += u.Admitted
 		}
 	}
 }
 
-// Learn applies the standings from the answer to a report.
-func (l *Limiter) Learn(book *Book, standings []Standing) {
+// ApplyStandings applies the standings from the answer to a report.
+func (l *Limiter) ApplyStandings(registry *Registry, standings []Standing) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.isolated = false
+	l.fallback = false
 	now := time.Now()
 	for _, s := range standings {
-		a := book.Find(s.Account)
+		a := registry.ByName(s.Account)
 		b := l.buckets[s.Account]
 		if a == nil || b == nil {
 			continue
@@ -191,34 +195,34 @@
 		b.tokens = float64(s.Tokens) - float64(b.admitted)
 		b.rate, b.capacity = a.Rate*b.share, bucketCapacity(a)
 		b.fairRate = b.rate
-		if b.unrestricted, b.nearLimit = s.Free, !s.Free; s.Free {
+		if b.unrestricted, b.nearLimit = s.Unrestricted, !s.Unrestricted; s.Unrestricted {
 			b.rate = a.Rate
 		}
 	}
 }
 
-// Among sets the number of nodes.
-func (l *Limiter) Among(nodes int) {
+// SetNodeCount sets the number of nodes.
+func (l *Limiter) SetNodeCount(nodes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nodes = max(nodes, 1)
 }
 
-// Alone switches to isolated mode when no collector is reachable. Each account
-// is restricted to the node's last known share of its rate, or to an even share
-// if that is more.
-func (l *Limiter) Alone(book *Book) {
+// EnterFallback switches to fallback mode when no collector is reachable. Each
+// account is restricted to the node's last known share of its rate, or to an
+// even share if that is more.
+func (l *Limiter) EnterFallback(registry *Registry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.isolated {
+	if l.fallback {
 		return
 	}
-	l.isolated = true
+	l.fallback = true
 	now := time.Now()
 	for name, b := range l.buckets {
-		if a := book.Find(name); a != nil {
+		if a := registry.ByName(name); a != nil {
 			b.refill(now)
-			b.restrict(a, max(b.share, 1/float64(l.nodes)), isolatedTokens)
+			b.restrict(a, max(b.share, 1/float64(l.nodes)), fallbackTokens)
 		}
 	}
 }
@@ -231,13 +235,13 @@
 	b.tokens = min(b.tokens, b.capacity)
 }
 
-// Keep removes accounts that are not in book and applies lowered limits to the
-// others.
-func (l *Limiter) Keep(book *Book) {
+// SetRegistry removes accounts that are not in registry and applies lowered
+// limits to the others.
+func (l *Limiter) SetRegistry(registry *Registry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, b := range l.buckets {
-		a := book.Find(name)
+		a := registry.ByName(name)
 		if a == nil {
 			delete(l.buckets, name)
 			continue
--- a/account/book.go
+++ b/account/registry.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid is wrapped by every error that NewBook returns.
+// ErrInvalid is wrapped by every error that NewRegistry returns.
 var ErrInvalid = eris.New("invalid client accounts")
 
 type (
@@ -29,9 +29,9 @@
 		Burst    float64 // requests admitted beyond Rate at once
 	}
 
-	// Book holds the accounts of one configuration version. It is immutable and
-	// safe for concurrent use.
-	Book struct {
+	// Registry holds the accounts of one configuration version. It is
+	// immutable and safe for concurrent use.
+	Registry struct {
 		all        []Account
 		byKey      map[Digest]*Account
 		byName     map[Name]*Account
@@ -42,10 +42,10 @@
 // DigestOf returns the Digest of an API key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// NewBook validates the accounts and indexes them. The error wraps ErrInvalid
-// and lists every problem by account name, without keys.
-func NewBook(all []Account) (*Book, error) {
-	b := &Book{all: all, byKey: map[Digest]*Account{}, byName: map[Name]*Account{}}
+// NewRegistry validates the accounts and indexes them. The error wraps
+// ErrInvalid and lists every problem by account name, without keys.
+func NewRegistry(all []Account) (*Registry, error) {
+	b := &Registry{all: all, byKey: map[Digest]*Account{}, byName: map[Name]*Account{}}
 	var problems []error
 	addProblem := func(a *Account, reason string) {
 		problems = append(problems, eris.Errorf("account %q: %s", a.Name, reason))
@@ -81,26 +81,26 @@
 	return b, nil
 }
 
-// Holder returns the account that an API key belongs to, or nil. The lookup is
+// ByKey returns the account that an API key belongs to, or nil. The lookup is
 // by hash, so its timing does not reveal how much of a key is correct.
-func (b *Book) Holder(key string) *Account { return b.byKey[DigestOf(key)] }
+func (r *Registry) ByKey(key string) *Account { return r.byKey[DigestOf(key)] }
 
-// Find returns the account with the given name, or nil.
-func (b *Book) Find(n Name) *Account { return b.byName[n] }
+// ByName returns the account with the given name, or nil.
+func (r *Registry) ByName(n Name) *Account { return r.byName[n] }
 
 // All returns all accounts. The caller must not modify the slice.
-func (b *Book) All() []Account { return b.all }
+func (r *Registry) All() []Account { return r.all }
 
 // Rank returns the position of the account's priority among the distinct
 // priorities, starting at 0 for the highest. A nil account (a caller without a
 // key on an open route) gets the lowest rank.
-func (b *Book) Rank(a *Account) int {
+func (r *Registry) Rank(a *Account) int {
 	if a == nil {
-		return max(len(b.priorities)-1, 0)
+		return max(len(r.priorities)-1, 0)
 	}
-	i, _ := slices.BinarySearch(b.priorities, a.Priority)
+	i, _ := slices.BinarySearch(r.priorities, a.Priority)
 	return i
 }
 
-// Ranks returns the number of distinct ranks, at least 1.
-func (b *Book) Ranks() int { return max(len(b.priorities), 1) }
+// NumRanks returns the number of distinct ranks, at least 1.
+func (r *Registry) NumRanks() int { return max(len(r.priorities), 1) }
--- a/account/book_test.go
+++ b/account/registry_test.go
@@ -19,15 +19,15 @@
 
 func TestLookupByKey(t *testing.T) {
 	Convey("Each key finds its account; partial and unknown keys find none", t, func() {
-		b, err := NewBook([]Account{{Name: "a", Keys: digests("ka", "kb")}, {Name: "b", Keys: digests("kc")}, {Name: "c"}})
+		b, err := NewRegistry([]Account{{Name: "a", Keys: digests("ka", "kb")}, {Name: "b", Keys: digests("kc")}, {Name: "c"}})
 		So(err, ShouldBeNil)
-		So(b.Holder("kb").Name, ShouldEqual, Name("a"))
-		So(b.Holder("kc").Name, ShouldEqual, Name("b"))
+		So(b.ByKey("kb").Name, ShouldEqual, Name("a"))
+		So(b.ByKey("kc").Name, ShouldEqual, Name("b"))
 		for _, k := range []string{"", "k", "kaa", "KA", "ka ", "kd"} {
-			So(b.Holder(k), ShouldBeNil)
+			So(b.ByKey(k), ShouldBeNil)
 		}
-		So(b.Find("c"), ShouldNotBeNil)
-		So(b.Find("d"), ShouldBeNil)
+		So(b.ByName("c"), ShouldNotBeNil)
+		So(b.ByName("d"), ShouldBeNil)
 	})
 }
 
@@ -48,16 +48,16 @@
 		{"empty key", "empty API key", []Account{{Name: "a", Keys: digests("")}}},
 	} {
 		Convey(c.name, t, func() {
-			_, err := NewBook(c.all)
+			_, err := NewRegistry(c.all)
 			So(errors.Is(err, ErrInvalid), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, c.says)
 			So(strings.Contains(err.Error(), "secret"), ShouldBeFalse)
 		})
 	}
 	Convey("A key repeated within one account is valid; the error lists every problem", t, func() {
-		_, err := NewBook([]Account{{Name: "a", Keys: digests("k", "k")}})
+		_, err := NewRegistry([]Account{{Name: "a", Keys: digests("k", "k")}})
 		So(err, ShouldBeNil)
-		_, err = NewBook([]Account{{Name: "a", Rate: -1}, {Name: "a"}})
+		_, err = NewRegistry([]Account{{Name: "a", Rate: -1}, {Name: "a"}})
 		So(err.Error(), ShouldContainSubstring, "rate and burst must be non-negative numbers")
 		So(err.Error(), ShouldContainSubstring, "duplicate name")
 	})
@@ -65,34 +65,34 @@
 
 func TestRanksAreContiguous(t *testing.T) {
 	Convey("Ranks follow priorities; callers without an account rank last", t, func() {
-		b, err := NewBook([]Account{{Name: "a", Priority: 7}, {Name: "b", Priority: 0}, {Name: "c", Priority: 7}, {Name: "d", Priority: 3}})
+		b, err := NewRegistry([]Account{{Name: "a", Priority: 7}, {Name: "b", Priority: 0}, {Name: "c", Priority: 7}, {Name: "d", Priority: 3}})
 		So(err, ShouldBeNil)
-		So(b.Ranks(), ShouldEqual, 3)
-		So(b.Rank(b.Find("b")), ShouldEqual, 0)
-		So(b.Rank(b.Find("d")), ShouldEqual, 1)
-		So(b.Rank(b.Find("a")), ShouldEqual, 2)
+		So(b.NumRanks(), ShouldEqual, 3)
+		So(b.Rank(b.ByName("b")), ShouldEqual, 0)
+		So(b.Rank(b.ByName("d")), ShouldEqual, 1)
+		So(b.Rank(b.ByName("a")), ShouldEqual, 2)
 		So(b.Rank(nil), ShouldEqual, 2)
-		none, err := NewBook(nil)
+		none, err := NewRegistry(nil)
 		So(err, ShouldBeNil)
-		So(none.Ranks(), ShouldEqual, 1)
+		So(none.NumRanks(), ShouldEqual, 1)
 		So(none.Rank(nil), ShouldEqual, 0)
 	})
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkByKey(b *testing.B) {
 	var all []Account
 	for i := range 1000 {
 		k := strings.Repeat(string(rune('a'+i%26)), 20) + string(rune(0x4e00+i))
 		all = append(all, Account{Name: Name(k), Keys: digests(k)})
 	}
-	book, err := NewBook(all)
+	registry, err := NewRegistry(all)
 	if err != nil {
 		b.Fatal(err)
 	}
 	key := string(all[500].Name)
 	b.ReportAllocs()
 	for b.Loop() {
-		if book.Holder(key) == nil {
+		if registry.ByKey(key) == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/account/usage.go
+++ b/account/usage.go
@@ -13,10 +13,10 @@
 	// Usage is the number of requests for one account that a source received
 	// and admitted since its previous report.
 	Usage struct {
-		_msgpack struct{} `msgpack:",as_array"`
-		Account  Name
-		Asked    int32
-		Admitted int32 // less returned tokens
+		_msgpack  struct{} `msgpack:",as_array"`
+		Account   Name
+		Requested int32
+		Admitted  int32 // less returned tokens
 	}
 
 	// Report is the usage that a source sends to a collector. It is sent
@@ -24,10 +24,10 @@
 	Report struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		From     Source
-		// Gathered means that the usage is of a whole data centre and must not
-		// be forwarded.
-		Gathered bool
-		Usage    []Usage
+		// Aggregated means that the usage is of a whole data centre
+		// and must not be forwarded.
+		Aggregated bool
+		Usage      []Usage
 		// Standby means that the receiver is the sender's standby. Admitted
 		// requests count, demand does not.
 		Standby bool
@@ -42,38 +42,38 @@
 		Account  Name
 		Tokens   float32 // available to the source; negative after overuse
 		Share    float32 // fraction of the rate for the source, from its baseline demand
-		// Free means that enough tokens are left for the source to use the
-		// account's full rate.
-		Free bool
+		// Unrestricted means that enough tokens are left for the
+		// source to use the account's full rate.
+		Unrestricted bool
 	}
 
 	// Standings is the answer to a Report.
 	Standings struct {
 		_msgpack struct{} `msgpack:",as_array"`
-		Of       []Standing
+		Entries  []Standing
 	}
 )
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (u *Usage) DecodeMsgpack(d *msgpack.Decoder) error {
 	*u = Usage{}
-	return message.Decode(d, (*string)(&u.Account), &u.Asked, &u.Admitted)
+	return message.Decode(d, (*string)(&u.Account), &u.Requested, &u.Admitted)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Report) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Report{}
-	return message.Decode(d, (*string)(&r.From), &r.Gathered, (*message.List[Usage])(&r.Usage), &r.Standby, &r.Moved)
+	return message.Decode(d, (*string)(&r.From), &r.Aggregated, (*message.List[Usage])(&r.Usage), &r.Standby, &r.Moved)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *Standing) DecodeMsgpack(d *msgpack.Decoder) error {
 	*s = Standing{}
-	return message.Decode(d, (*string)(&s.Account), &s.Tokens, &s.Share, &s.Free)
+	return message.Decode(d, (*string)(&s.Account), &s.Tokens, &s.Share, &s.Unrestricted)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *Standings) DecodeMsgpack(d *msgpack.Decoder) error {
 	*s = Standings{}
-	return message.Decode(d, (*message.List[Standing])(&s.Of))
+	return message.Decode(d, (*message.List[Standing])(&s.Entries))
 }
--- a/account/usage_test.go
+++ b/account/usage_test.go
@@ -9,12 +9,12 @@
 // FuzzReport checks that any report from another node is either rejected or
 // counted, with an answer that can be decoded.
 func FuzzReport(f *testing.F) {
-	b, err := msgpack.Marshal(Report{From: "dc1", Gathered: true, Usage: []Usage{{Account: "a", Asked: 3, Admitted: 2}, {Account: "b", Admitted: -1}}})
+	b, err := msgpack.Marshal(Report{From: "dc1", Aggregated: true, Usage: []Usage{{Account: "a", Requested: 3, Admitted: 2}, {Account: "b", Admitted: -1}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(b)
-	book, err := NewBook([]Account{{Name: "a", Rate: 5, Burst: 5}, {Name: "b"}})
+	registry, err := NewRegistry([]Account{{Name: "a", Rate: 5, Burst: 5}, {Name: "b"}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -23,13 +23,13 @@
 		if msgpack.Unmarshal(b, &r) != nil {
 			return
 		}
-		of := NewTally().Add(book, r)
-		out, err := msgpack.Marshal(Standings{Of: of})
+		of := NewAggregator().Add(registry, r)
+		out, err := msgpack.Marshal(Standings{Entries: of})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got Standings
-		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Of) != len(of) {
+		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Entries) != len(of) {
 			t.Fatal(got, err)
 		}
 	})
@@ -41,10 +41,10 @@
 	all := make([]Account, 1000)
 	for i := range all {
 		all[i] = Account{Name: Name(string(rune('a'+i%26)) + string(rune(0x4e00+i))), Rate: 1e9, Burst: 1e9}
-		l.Take(&all[i])
+		l.Allow(&all[i])
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		l.Take(&all[i%len(all)])
+		l.Allow(&all[i%len(all)])
 	}
 }
--- a/directory/codec.go
+++ b/directory/codec.go
@@ -94,7 +94,7 @@
 	}
 	r.Services = e.Services
 	if e.Accounted {
-		if r.Accounts, err = account.NewBook(e.Accounts); err != nil {
+		if r.Accounts, err = account.NewRegistry(e.Accounts); err != nil {
 			return nil, eris.Wrap(ErrInvalidRoutes, err.Error())
 		}
 	}
--- a/directory/codec_test.go
+++ b/directory/codec_test.go
@@ -67,7 +67,7 @@
 			x := goldenDelta(t)
 			x.Routes.Accounts = nil
 			if all != nil {
-				b, err := account.NewBook(all)
+				b, err := account.NewRegistry(all)
 				So(err, ShouldBeNil)
 				x.Routes.Accounts = b
 			}
@@ -81,13 +81,13 @@
 				So(len(got.Routes.Accounts.All()), ShouldEqual, len(all))
 			}
 			if len(all) > 0 {
-				So(*got.Routes.Accounts.Holder("k"), ShouldResemble, all[0])
+				So(*got.Routes.Accounts.ByKey("k"), ShouldResemble, all[0])
 			}
 		}
 	})
 	Convey("Invalid accounts are an error", t, func() {
 		x := goldenDelta(t)
-		b, err := account.NewBook([]account.Account{{Name: "a"}, {Name: "b"}})
+		b, err := account.NewRegistry([]account.Account{{Name: "a"}, {Name: "b"}})
 		So(err, ShouldBeNil)
 		b.All()[1].Name = "a"
 		x.Routes.Accounts = b
--- a/directory/routes.go
+++ b/directory/routes.go
@@ -67,7 +67,7 @@
 		// them.
 		Services []Service
 		// Accounts holds the client accounts; nil if callers need none.
-		Accounts   *account.Book
+		Accounts   *account.Registry
 		hosts      map[string][]Route // longest prefix first
 		priorities []int              // distinct priorities of the routes, sorted
 	}
@@ -105,7 +105,7 @@
 	}
 	i, _ := slices.BinarySearch(r.priorities, rt.Priority)
 	n := len(r.priorities)
-	return r.Accounts.Rank(a)*n + i, r.Accounts.Ranks() * n
+	return r.Accounts.Rank(a)*n + i, r.Accounts.NumRanks() * n
 }
 
 // hasService reports whether the routes name a service. Without a list of
--- a/filter/owner.go
+++ b/filter/owner.go
@@ -11,7 +11,7 @@
 // key. It must come after Dedup, which answers keys that already ran here,
 // and before Drain, which declines keys that this instance would otherwise
 // run.
-func Owner(ownership *owner.Book) Filter {
+func Owner(ownership *owner.Arbiter) Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
 			if c.Op.Idempotent {
--- a/node/node.go
+++ b/node/node.go
@@ -75,7 +75,7 @@
 		table          *route.Table
 		admission      *filter.Admission
 		dedup          *filter.Dedup
-		ownership      *owner.Book
+		ownership      *owner.Arbiter
 		budgets        *budget.Ledger
 		leaving        atomic.Bool
 		localChain     filter.Handler
@@ -117,7 +117,7 @@
 	}
 	n.stats = newStats(cfg.Settings.Instance)
 	n.peers = wire.NewPool(wire.PoolConfig{From: cfg.Settings.Instance, Log: n.log, OnVersion: func(p wire.Peer, v uint64) { n.onPeerVersion(p.Name, v) }, Dial: cfg.Dial})
-	n.ownership = owner.NewBook(owner.Config{Instance: cfg.Settings.Instance, Window: dedupWindow, Skew: cfg.Skew, Gone: n.drainedBefore})
+	n.ownership = owner.NewArbiter(owner.Config{Instance: cfg.Settings.Instance, DedupWindow: dedupWindow, ClockSkew: cfg.Skew, HasLeft: n.drainedBefore})
 	n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget),
 		filter.Deadline(cfg.Skew),
 		n.dedup.Filter(),
@@ -210,7 +210,7 @@
 // configuration, has read the VM list, which calls with an idempotency key
 // require, has waited out the clock skew and is not leaving.
 func (n *Node) Ready() bool {
-	return n.graph.Load() != nil && n.ownership.Confirmed() && !n.leaving.Load() && !time.Now().Before(n.ownership.Started())
+	return n.graph.Load() != nil && n.ownership.VMListRead() && !n.leaving.Load() && !time.Now().Before(n.ownership.Started())
 }
 
 // Graph returns the active configuration, or nil.
--- a/node/vm_list.go
+++ b/node/vm_list.go
@@ -86,5 +86,5 @@
 			n.log.Info("node_leaving_by_vm_list")
 		}
 	}
-	n.ownership.Confirm()
+	n.ownership.SetVMListRead()
 }
--- a/owner/book_test.go
+++ b/owner/arbiter_test.go
@@ -18,12 +18,12 @@
 		Services: map[string]*callgraph.Service{"versand": {Name: "versand", Instances: instances}}}
 }
 
-// newBook returns the Book of an instance whose process has just started under
-// g and has read the VM list.
-func newBook(name string, g *callgraph.Graph) *owner.Book {
-	b := owner.NewBook(owner.Config{Instance: name, Window: window})
+// newArbiter returns the Arbiter of an instance whose process has just started
+// under g and has read the VM list.
+func newArbiter(name string, g *callgraph.Graph) *owner.Arbiter {
+	b := owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window})
 	b.SetGraph(g)
-	b.Confirm()
+	b.SetVMListRead()
 	return b
 }
 
@@ -53,7 +53,7 @@
 func TestKeyRunsOnceAcrossGraphChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v1 := newGraph(1, pool[0])
-		one, two := newBook("versand-1", v1), newBook("versand-2", v1)
+		one, two := newArbiter("versand-1", v1), newArbiter("versand-2", v1)
 		time.Sleep(time.Minute)
 		v2 := newGraph(2, pool[0], pool[1])
 		two.SetGraph(v2)
@@ -69,7 +69,7 @@
 			So(one.Claim("versand", later, nil), ShouldEqual, owner.Decline)
 			So(one.Claim("versand", later, []string{"versand-2"}), ShouldEqual, owner.Run)
 		})
-		time.Sleep(owner.Settle)
+		time.Sleep(owner.PropagationDelay)
 		Convey("A key made once no router uses the old graph runs at versand-2", t, func() {
 			So(two.Claim("versand", keyRankedFirst("versand-2", pool[:2]), nil), ShouldEqual, owner.Run)
 		})
@@ -80,12 +80,12 @@
 // it has read the VM list, it must not run a key from a stale router.
 func TestRestartOnLeavingVMDeclinesKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := owner.NewBook(owner.Config{Instance: "versand-1", Window: window})
+		b := owner.NewArbiter(owner.Config{Instance: "versand-1", DedupWindow: window})
 		b.SetGraph(newGraph(1, pool[0]))
 		time.Sleep(time.Second)
 		Convey("Keys are declined until the VM list has been read", t, func() {
 			So(b.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Decline)
-			b.Confirm()
+			b.SetVMListRead()
 			So(b.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Run)
 		})
 	})
@@ -97,18 +97,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		before := keyNow("nord", 1)
 		time.Sleep(time.Second)
-		b := newBook("versand-1", newGraph(1, pool[0]))
+		b := newArbiter("versand-1", newGraph(1, pool[0]))
 		time.Sleep(time.Second)
 		key := keyNow("nord", 1)
 		Convey("Only a key made since the process started runs", t, func() {
-			So(b.Claim("versand", before, nil), ShouldEqual, owner.Doubt)
-			So(b.Claim("versand", "nord.not-a-uuid", nil), ShouldEqual, owner.Doubt)
-			So(b.Claim("versand", "nord.7fffffff-ffff-7000-8000-000000000000", nil), ShouldEqual, owner.Doubt)
+			So(b.Claim("versand", before, nil), ShouldEqual, owner.Uncertain)
+			So(b.Claim("versand", "nord.not-a-uuid", nil), ShouldEqual, owner.Uncertain)
+			So(b.Claim("versand", "nord.7fffffff-ffff-7000-8000-000000000000", nil), ShouldEqual, owner.Uncertain)
 			So(b.Claim("versand", key, nil), ShouldEqual, owner.Run)
 		})
 		time.Sleep(window)
 		Convey("The key no longer runs once it is older than the dedup window", t, func() {
-			So(b.Claim("versand", key, nil), ShouldEqual, owner.Doubt)
+			So(b.Claim("versand", key, nil), ShouldEqual, owner.Uncertain)
 		})
 	})
 }
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -29,12 +29,12 @@
 )
 
 type (
-	// process is a node in the model: the Book, dedup window and filters of an
-	// instance, or only the route table of a router.
+	// process is a node in the model: the Arbiter, dedup window and
+	// filters of an instance, or only the route table of a router.
 	process struct {
 		graph   *callgraph.Graph
 		table   *route.Table
-		book    *owner.Book // nil for a router
+		arbiter *owner.Arbiter // nil for a router
 		leaving atomic.Bool
 		handler filter.Handler
 	}
@@ -80,18 +80,18 @@
 func (f *fleet) start(name string) *process {
 	p := &process{table: route.NewTable("nord")}
 	if name != "" {
-		p.book = owner.NewBook(owner.Config{Instance: name, Window: window, Gone: p.gone})
+		p.arbiter = owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window, HasLeft: p.gone})
 		p.handler = filter.Chain(filter.HandlerFunc(func(_ context.Context, c *filter.Call) call.Answer {
 			f.runs[c.Request.Key]++
 			return call.Answer{Status: call.OK}
-		}), filter.NewDedup(window, 1<<20).Filter(), filter.Owner(p.book), filter.Drain(&p.leaving))
+		}), filter.NewDedup(window, 1<<20).Filter(), filter.Owner(p.arbiter), filter.Drain(&p.leaving))
 	}
 	p.apply(f.graphs[len(f.graphs)-1])
 	return p
 }
 
 func (p *process) gone(instance string, at time.Time) bool {
-	return p.table.ListedBefore(instance, at.Add(-owner.Settle))
+	return p.table.ListedBefore(instance, at.Add(-owner.PropagationDelay))
 }
 
 func (p *process) apply(g *callgraph.Graph) {
@@ -99,8 +99,8 @@
 		return
 	}
 	p.graph = g
-	if p.book != nil {
-		p.book.SetGraph(g)
+	if p.arbiter != nil {
+		p.arbiter.SetGraph(g)
 	}
 }
 
@@ -113,8 +113,8 @@
 			p.leaving.Store(true)
 		}
 	}
-	if p.book != nil {
-		p.book.Confirm()
+	if p.arbiter != nil {
+		p.arbiter.SetVMListRead()
 	}
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -16,23 +16,23 @@
 		records int
 	}{{"empty", 0}, {"full", maxRecords - 1}} {
 		b.Run(c.name, func(b *testing.B) {
-			book := newFilledBook(c.records)
+			tracker := newFilledTracker(c.records)
 			b.ReportAllocs()
 			for b.Loop() {
 				f := FingerprintOf(r)
-				if book.Stage(f, "a") == Quarantined {
+				if tracker.Stage(f, "a") == Quarantined {
 					b.Fatal("quarantined")
 				}
-				book.Answered(f, "a")
+				tracker.RecordAnswer(f, "a")
 			}
 		})
 	}
 }
 
 // BenchmarkEnd measures the cost of an instance end with a hundred requests in
-// progress, with a full Book, and the encoded size of its report.
+// progress, with a full Tracker, and the encoded size of its report.
 func BenchmarkEnd(b *testing.B) {
-	book := newFilledBook(maxRecords)
+	tracker := newFilledTracker(maxRecords)
 	fs := make([]Fingerprint, 100)
 	next := Fingerprint(1 << 40)
 	size := 0
@@ -41,9 +41,9 @@
 		for i := range fs {
 			next++
 			fs[i] = next
-			book.Ended(next, newEnd(EndID(next), "lego45a"))
+			tracker.RecordEnd(next, newEnd(EndID(next), "lego45a"))
 		}
-		encoded, err := msgpack.Marshal(book.Of(fs))
+		encoded, err := msgpack.Marshal(tracker.Records(fs))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -52,24 +52,24 @@
 	b.ReportMetric(float64(size)/float64(len(fs)), "B/request")
 }
 
-// BenchmarkMemory measures the memory of a full Book.
+// BenchmarkMemory measures the memory of a full Tracker.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		book := newFilledBook(maxRecords)
+		tracker := newFilledTracker(maxRecords)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		runtime.KeepAlive(book)
+		runtime.KeepAlive(tracker)
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/maxRecords, "B/record")
 }
 
-func newFilledBook(records int) *Book {
-	b := newTestBook()
+func newFilledTracker(records int) *Tracker {
+	b := newTestTracker()
 	for i := range records {
-		b.Ended(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
+		b.RecordEnd(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
 	}
 	return b
 }
--- a/quarantine/compat_test.go
+++ b/quarantine/compat_test.go
@@ -12,8 +12,8 @@
 // wantReport has every field set. testdata/former/report.hex is its encoding by
 // the previous version.
 var wantReport = Report{Next: Cursor{Epoch: 1 << 60, Seq: 300}, Records: []Record{
-	{Of: 7, Ends: []End{{ID: 1, Caller: "a", Alone: true}, {ID: 1 << 40, Caller: "b", Cleared: true}}, Sound: []Caller{"b"}, Age: time.Second},
-	{Of: 1 << 50},
+	{Fingerprint: 7, Ends: []End{{ID: 1, Caller: "a", Isolated: true}, {ID: 1 << 40, Caller: "b", Answered: true}}, AnsweredFor: []Caller{"b"}, Age: time.Second},
+	{Fingerprint: 1 << 50},
 }}
 
 // Nodes of the previous and of this version exchange reports during an upgrade.
@@ -28,8 +28,8 @@
 	})
 }
 
-// FuzzReport checks that a Book merges any report within its bounds or rejects
-// it.
+// FuzzReport checks that a Tracker merges any report within its bounds or
+// rejects it.
 func FuzzReport(f *testing.F) {
 	f.Add(messagetest.Former(f, "report"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -37,15 +37,15 @@
 		if msgpack.Unmarshal(b, &got) != nil {
 			return
 		}
-		book := newTestBook()
-		for _, of := range book.Learn(got) {
-			book.Stage(of, "a")
-			if n := len(book.records[of].Ends); n > maxEnds {
+		tracker := newTestTracker()
+		for _, of := range tracker.Merge(got) {
+			tracker.Stage(of, "a")
+			if n := len(tracker.records[of].Ends); n > maxEnds {
 				t.Fatalf("record holds %d ends, more than maxEnds", n)
 			}
 		}
-		if len(book.records) > maxRecords {
-			t.Fatalf("book holds %d records, more than maxRecords", len(book.records))
+		if len(tracker.records) > maxRecords {
+			t.Fatalf("tracker holds %d records, more than maxRecords", len(tracker.records))
 		}
 	})
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,6 +1,6 @@
 // Package quarantine protects a service's instances from requests that end
 // (crash) every instance that runs them. Callers retry such a request through
 // any node and with a new ID, so requests are identified by a fingerprint of
-// their content. A Book counts the instances that ended while they ran a
-// request. Nodes exchange what their Books contain.
+// their content. A Tracker counts the instances that ended while they ran a
+// request. Nodes exchange what their Trackers contain.
 package quarantine
--- a/quarantine/isolation_instance.go
+++ b/quarantine/isolation_instance.go
@@ -6,10 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Home returns the candidate on which an isolated request runs, chosen by
-// rendezvous hashing of the candidates' names so that all nodes agree without
-// coordination. The result has one element, or none if there are no candidates.
-func Home[P any](f Fingerprint, candidates []P, name func(P) string) []P {
+// IsolationInstance returns the candidate on which an isolated request runs,
+// chosen by rendezvous hashing of the candidates' names so that all nodes
+// agree without coordination. The result has one element, or none if there are
+// no candidates.
+func IsolationInstance[P any](f Fingerprint, candidates []P, name func(P) string) []P {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], uint64(f))
 	selected, best := 0, uint64(0)
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -19,12 +19,13 @@
 		answered map[Caller]bool
 	}
 
-	// fleet holds the Books of several nodes and the oracle's model of each.
+	// fleet holds the Trackers of several nodes and the oracle's model of
+	// each.
 	fleet struct {
-		books   []*Book
-		cursors [][]Cursor // by requesting and answering node
-		oracles []knowledge
-		lastID  EndID
+		trackers []*Tracker
+		cursors  [][]Cursor // by requesting and answering node
+		oracles  []knowledge
+		lastID   EndID
 	}
 )
 
@@ -45,7 +46,7 @@
 		own := k.factsFor(f)
 		for id, e := range x.ends {
 			had := own.ends[id]
-			e.Alone, e.Cleared = e.Alone || had.Alone, e.Cleared || had.Cleared
+			e.Isolated, e.Answered = e.Isolated || had.Isolated, e.Answered || had.Answered
 			own.ends[id] = e
 		}
 		if x.lastEnd.After(own.lastEnd) {
@@ -63,7 +64,7 @@
 			continue
 		}
 		for otherID, e := range otherFacts.ends {
-			if own, ok := k.factsFor(f).ends[otherID]; e.Alone && !e.Cleared && (!ok || own.Cleared) {
+			if own, ok := k.factsFor(f).ends[otherID]; e.Isolated && !e.Answered && (!ok || own.Answered) {
 				return true
 			}
 		}
@@ -78,13 +79,13 @@
 	for _, x := range k {
 		for id := range x.ends {
 			own, ok := k.factsFor(f).ends[id]
-			unrelated[id] = !ok || own.Cleared
+			unrelated[id] = !ok || own.Answered
 		}
 	}
 	for _, x := range k {
 		fatal := false
 		for _, e := range x.ends {
-			fatal = fatal || (e.Alone && !e.Cleared)
+			fatal = fatal || (e.Isolated && !e.Answered)
 		}
 		for id := range x.ends {
 			unrelated[id] = unrelated[id] && !fatal
@@ -105,7 +106,7 @@
 	n, ownEnds, conclusiveEnds := 0, 0, 0
 	callers := map[Caller]bool{}
 	for _, e := range x.ends {
-		if e.Cleared || (x.answered[c] && e.Caller != c) {
+		if e.Answered || (x.answered[c] && e.Caller != c) {
 			continue
 		}
 		n++
@@ -113,7 +114,7 @@
 		if e.Caller == c {
 			ownEnds++
 		}
-		if e.Alone && !k.attributed(f, e.ID) {
+		if e.Isolated && !k.attributed(f, e.ID) {
 			conclusiveEnds++
 		}
 	}
@@ -133,7 +134,7 @@
 func newFleet(n int) *fleet {
 	f := &fleet{cursors: make([][]Cursor, n)}
 	for i := range n {
-		f.books, f.oracles = append(f.books, newTestBook()), append(f.oracles, knowledge{})
+		f.trackers, f.oracles = append(f.trackers, newTestTracker()), append(f.oracles, knowledge{})
 		f.cursors[i] = make([]Cursor, n)
 	}
 	return f
@@ -142,9 +143,9 @@
 // fetch requests the changes since the last fetch from another node and applies
 // the answer the given number of times; 0 simulates a lost answer.
 func (f *fleet) fetch(by, from int, answers int) {
-	r := f.books[from].Since(f.cursors[by][from])
+	r := f.trackers[from].ChangesSince(f.cursors[by][from])
 	for range answers {
-		f.books[by].Learn(r)
+		f.trackers[by].Merge(r)
 		f.cursors[by][from] = r.Next
 		f.oracles[by].merge(f.oracles[from])
 	}
@@ -152,7 +153,7 @@
 
 func (f *fleet) check(t *rapid.T) {
 	time.Sleep(provisionalTerm)
-	for i, b := range f.books {
+	for i, b := range f.trackers {
 		for fp := range Fingerprint(3) {
 			for _, c := range []Caller{"a", "b"} {
 				if got, want := b.Stage(fp, c), f.oracles[i].stage(fp, c); got != want {
@@ -163,9 +164,9 @@
 	}
 }
 
-// TestNodesConverge compares Books with the oracle while nodes record ends and
-// answers, exchange reports that are lost or duplicated, and restart without
-// state. Once every node has fetched from every other, all must agree.
+// TestNodesConverge compares Trackers with the oracle while nodes record ends
+// and answers, exchange reports that are lost or duplicated, and restart
+// without state. Once every node has fetched from every other, all must agree.
 func TestNodesConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { rapid.Check(synctestTB{t}, checkFleet) })
 }
@@ -185,27 +186,27 @@
 			i := node()
 			for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 2), 1, 3, rapid.ID).Draw(t, "requests") {
 				fp := Fingerprint(n)
-				e := End{ID: f.lastID, Caller: caller(), Alone: rapid.Bool().Draw(t, "alone")}
-				f.books[i].Ended(fp, e)
+				e := End{ID: f.lastID, Caller: caller(), Isolated: rapid.Bool().Draw(t, "alone")}
+				f.trackers[i].RecordEnd(fp, e)
 				x := f.oracles[i].factsFor(fp)
 				x.ends[e.ID], x.lastEnd = e, time.Now()
 				// Another node records the same end with less information.
 				j := node()
-				e.Alone = false
-				f.books[j].Ended(fp, e)
+				e.Isolated = false
+				f.trackers[j].RecordEnd(fp, e)
 				f.oracles[j].merge(knowledge{fp: {ends: map[EndID]End{e.ID: e}, lastEnd: x.lastEnd}})
 			}
 		},
 		"answer": func(t *rapid.T) {
 			i, fp, c := node(), request(), caller()
-			f.books[i].Answered(fp, c)
+			f.trackers[i].RecordAnswer(fp, c)
 			if len(f.oracles[i].factsFor(fp).ends) == 0 && len(f.oracles[i].factsFor(fp).answered) == 0 {
 				return // not recorded
 			}
 			x := f.oracles[i].factsFor(fp)
 			x.answered[c] = true
 			for id, e := range x.ends {
-				e.Cleared = e.Cleared || e.Caller == c
+				e.Answered = e.Answered || e.Caller == c
 				x.ends[id] = e
 			}
 		},
@@ -214,7 +215,7 @@
 		},
 		"restart": func(t *rapid.T) {
 			i := node()
-			f.books[i], f.oracles[i], f.cursors[i] = newTestBook(), knowledge{}, make([]Cursor, nodes)
+			f.trackers[i], f.oracles[i], f.cursors[i] = newTestTracker(), knowledge{}, make([]Cursor, nodes)
 		},
 		"": f.check,
 	})
@@ -229,7 +230,7 @@
 	for i := range nodes {
 		for j := range nodes {
 			for fp := range Fingerprint(3) {
-				if f.books[i].Stage(fp, "a") != f.books[j].Stage(fp, "a") {
+				if f.trackers[i].Stage(fp, "a") != f.trackers[j].Stage(fp, "a") {
 					t.Fatalf("nodes %d and %d disagree on the stage of request %d", i, j, fp)
 				}
 			}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -70,8 +70,8 @@
 		_msgpack struct{} `msgpack:",as_array"`
 		ID       EndID
 		Caller   Caller
-		Alone    bool // the request ran isolated
-		Cleared  bool // the request has since been answered
+		Isolated bool // the request ran isolated
+		Answered bool // the request has since been answered
 	}
 
 	// evidence is what the records of other requests imply about the ends of
@@ -87,11 +87,11 @@
 
 	// Record is what is known of one request.
 	Record struct {
-		_msgpack struct{} `msgpack:",as_array"`
-		Of       Fingerprint
-		Ends     []End
-		Sound    []Caller      // callers for which it was answered
-		Age      time.Duration // since the last end
+		_msgpack    struct{} `msgpack:",as_array"`
+		Fingerprint Fingerprint
+		Ends        []End
+		AnsweredFor []Caller      // callers for which it was answered
+		Age         time.Duration // since the last end
 	}
 )
 
@@ -122,7 +122,7 @@
 	severalCallers := slices.ContainsFunc(ends, func(e End) bool { return e.Caller != ends[0].Caller })
 	conclusiveEnds := 0
 	for _, e := range ends {
-		if e.Alone && ev.conclusive(r, e) {
+		if e.Isolated && ev.conclusive(r, e) {
 			conclusiveEnds++
 		}
 	}
@@ -137,10 +137,10 @@
 
 // relevantEnds returns the ends that count for a caller.
 func (r *Record) relevantEnds(c Caller) []End {
-	answered := slices.Contains(r.Sound, c)
+	answered := slices.Contains(r.AnsweredFor, c)
 	var ends []End
 	for _, e := range r.Ends {
-		if !e.Cleared && (!answered || e.Caller == c) {
+		if !e.Answered && (!answered || e.Caller == c) {
 			ends = append(ends, e)
 		}
 	}
@@ -158,19 +158,19 @@
 
 // hasEnd reports whether the request has an uncleared end with the given ID.
 func (r *Record) hasEnd(id EndID) bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.ID == id && !e.Cleared })
+	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.ID == id && !e.Answered })
 }
 
 // endedIsolatedWithout reports whether an instance ended while r ran isolated
 // and other was not in progress there.
 func (r *Record) endedIsolatedWithout(other *Record) bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Alone && !e.Cleared && !other.hasEnd(e.ID) })
+	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Isolated && !e.Answered && !other.hasEnd(e.ID) })
 }
 
 // endedIsolated reports whether an instance ended while the request ran
 // isolated.
 func (r *Record) endedIsolated() bool {
-	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Alone && !e.Cleared })
+	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.Isolated && !e.Answered })
 }
 
 // addEnd adds an end or merges it with the known one, and reports whether the
@@ -181,8 +181,8 @@
 		return r.insertEnd(e)
 	}
 	old := &r.Ends[i]
-	changed := (e.Alone && !old.Alone) || (e.Cleared && !old.Cleared)
-	old.Alone, old.Cleared = old.Alone || e.Alone, old.Cleared || e.Cleared
+	changed := (e.Isolated && !old.Isolated) || (e.Answered && !old.Answered)
+	old.Isolated, old.Answered = old.Isolated || e.Isolated, old.Answered || e.Answered
 	return changed
 }
 
@@ -192,8 +192,8 @@
 		r.Ends = append(r.Ends, e)
 		return true
 	}
-	i := slices.IndexFunc(r.Ends, func(o End) bool { return o.Cleared })
-	if i < 0 || e.Cleared {
+	i := slices.IndexFunc(r.Ends, func(o End) bool { return o.Answered })
+	if i < 0 || e.Answered {
 		return false
 	}
 	r.Ends[i] = e
@@ -205,26 +205,26 @@
 func (r *Record) clear(c Caller) bool {
 	changed := r.addAnswered(c)
 	for i := range r.Ends {
-		if e := &r.Ends[i]; e.Caller == c && !e.Cleared {
-			e.Cleared, changed = true, true
+		if e := &r.Ends[i]; e.Caller == c && !e.Answered {
+			e.Answered, changed = true, true
 		}
 	}
 	return changed
 }
 
 func (r *Record) addAnswered(c Caller) bool {
-	if slices.Contains(r.Sound, c) {
+	if slices.Contains(r.AnsweredFor, c) {
 		return false
 	}
-	r.Sound = append(r.Sound, c)
+	r.AnsweredFor = append(r.AnsweredFor, c)
 	return true
 }
 
-// Of returns the fingerprints of the report's records.
-func (r *Report) Of() []Fingerprint {
+// Fingerprints returns the fingerprints of the report's records.
+func (r *Report) Fingerprints() []Fingerprint {
 	fs := make([]Fingerprint, 0, len(r.Records))
 	for _, record := range r.Records {
-		fs = append(fs, record.Of)
+		fs = append(fs, record.Fingerprint)
 	}
 	return fs
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -12,39 +12,39 @@
 
 const fatal = Fingerprint(7)
 
-func newTestBook() *Book {
-	return NewBook(Config{Log: &log.Logger{Handler: discard.New()}})
+func newTestTracker() *Tracker {
+	return NewTracker(Config{Log: &log.Logger{Handler: discard.New()}})
 }
 
 func newEnd(id EndID, c Caller) End { return End{ID: id, Caller: c} }
 
-func newIsolatedEnd(id EndID, c Caller) End { return End{ID: id, Caller: c, Alone: true} }
+func newIsolatedEnd(id EndID, c Caller) End { return End{ID: id, Caller: c, Isolated: true} }
 
 // A request that ends instances is suspect after the first end, isolated after
 // the second and quarantined after the third.
 func TestQuarantineAfterThreeEnds(t *testing.T) {
 	Convey("Free, suspect, isolated, quarantined", t, func() {
-		b := newTestBook()
+		b := newTestTracker()
 		So(b.Stage(fatal, "a"), ShouldEqual, Free)
-		So(b.Ended(fatal, newEnd(1, "a")), ShouldBeTrue)
+		So(b.RecordEnd(fatal, newEnd(1, "a")), ShouldBeTrue)
 		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-		b.Ended(fatal, newEnd(2, "a"))
+		b.RecordEnd(fatal, newEnd(2, "a"))
 		So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-		b.Ended(fatal, newIsolatedEnd(3, "a"))
+		b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-		So(b.Left(fatal, "a"), ShouldBeBetween, Term-time.Second, Term+1)
+		So(b.Remaining(fatal, "a"), ShouldBeBetween, Term-time.Second, Term+1)
 		So(b.Count(Quarantined), ShouldEqual, 1)
 	})
 	Convey("An end recorded twice, by the nodes at both sides of a call, counts once", t, func() {
-		b := newTestBook()
-		b.Ended(fatal, newEnd(1, "a"))
-		So(b.Ended(fatal, newEnd(1, "a")), ShouldBeFalse)
+		b := newTestTracker()
+		b.RecordEnd(fatal, newEnd(1, "a"))
+		So(b.RecordEnd(fatal, newEnd(1, "a")), ShouldBeFalse)
 		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
 	})
 	Convey("If quarantine is off, the request remains free", t, func() {
-		b := NewBook(Config{Off: true, Log: &log.Logger{Handler: discard.New()}})
+		b := NewTracker(Config{Disabled: true, Log: &log.Logger{Handler: discard.New()}})
 		for i := range 5 {
-			b.Ended(fatal, newIsolatedEnd(EndID(i+1), "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(EndID(i+1), "a"))
 		}
 		So(b.Stage(fatal, "a"), ShouldEqual, Free)
 	})
@@ -54,22 +54,22 @@
 func TestSimultaneousEndsQuarantineBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The request is quarantined for provisionalTerm, then isolated until it is answered", t, func() {
-			b := newTestBook()
+			b := newTestTracker()
 			for i := range 5 {
-				b.Ended(fatal, newEnd(EndID(i+1), "a"))
+				b.RecordEnd(fatal, newEnd(EndID(i+1), "a"))
 			}
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-			So(b.Left(fatal, "a"), ShouldEqual, provisionalTerm)
+			So(b.Remaining(fatal, "a"), ShouldEqual, provisionalTerm)
 			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			So(b.Answered(fatal, "a"), ShouldBeTrue)
+			So(b.RecordAnswer(fatal, "a"), ShouldBeTrue)
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
-			So(b.Answered(fatal, "a"), ShouldBeFalse)
+			So(b.RecordAnswer(fatal, "a"), ShouldBeFalse)
 			// Ends after the answer count from zero.
-			b.Ended(fatal, newEnd(11, "a"))
+			b.RecordEnd(fatal, newEnd(11, "a"))
 			So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-			b.Ended(fatal, newEnd(12, "a"))
-			b.Ended(fatal, newIsolatedEnd(13, "a"))
+			b.RecordEnd(fatal, newEnd(12, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(13, "a"))
 			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
@@ -79,41 +79,41 @@
 // A caller's quarantine applies to the same request from another caller for a
 // minute. Then it runs isolated, and is cleared or quarantined for all callers.
 func TestSameRequestFromAnotherCaller(t *testing.T) {
-	quarantinedBook := func() *Book {
-		b := newTestBook()
-		b.Ended(fatal, newEnd(1, "a"))
-		b.Ended(fatal, newEnd(2, "a"))
-		b.Ended(fatal, newIsolatedEnd(3, "a"))
+	quarantinedTracker := func() *Tracker {
+		b := newTestTracker()
+		b.RecordEnd(fatal, newEnd(1, "a"))
+		b.RecordEnd(fatal, newEnd(2, "a"))
+		b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
 		time.Sleep(provisionalTerm)
 		return b
 	}
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Another caller's request runs isolated after a minute and is free once answered; other callers' requests are not cleared", t, func() {
-			b := quarantinedBook()
+			b := quarantinedTracker()
 			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
-			So(b.Left(fatal, "b"), ShouldEqual, time.Minute-provisionalTerm)
-			So(b.Left(fatal, "a"), ShouldEqual, Term-provisionalTerm)
+			So(b.Remaining(fatal, "b"), ShouldEqual, time.Minute-provisionalTerm)
+			So(b.Remaining(fatal, "a"), ShouldEqual, Term-provisionalTerm)
 			time.Sleep(time.Minute)
 			So(b.Stage(fatal, "b"), ShouldEqual, Isolated)
-			b.Answered(fatal, "b")
+			b.RecordAnswer(fatal, "b")
 			So(b.Stage(fatal, "b"), ShouldEqual, Free)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			So(b.Stage(fatal, "c"), ShouldEqual, Isolated)
 		})
 		Convey("If it ends one more instance, it is quarantined for all callers", t, func() {
-			b := quarantinedBook()
+			b := quarantinedTracker()
 			time.Sleep(time.Minute)
-			b.Ended(fatal, newIsolatedEnd(4, "b"))
+			b.RecordEnd(fatal, newIsolatedEnd(4, "b"))
 			time.Sleep(Term)
 			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
 			So(b.Stage(fatal, "c"), ShouldEqual, Quarantined)
 		})
 		Convey("A caller that was answered before is not affected", t, func() {
-			b := newTestBook()
-			b.Ended(fatal, newEnd(1, "a"))
-			b.Answered(fatal, "b")
-			b.Ended(fatal, newEnd(2, "a"))
-			b.Ended(fatal, newIsolatedEnd(3, "a"))
+			b := newTestTracker()
+			b.RecordEnd(fatal, newEnd(1, "a"))
+			b.RecordAnswer(fatal, "b")
+			b.RecordEnd(fatal, newEnd(2, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
 			So(b.Stage(fatal, "b"), ShouldEqual, Free)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
@@ -124,36 +124,36 @@
 // one other end. Only a second such end may quarantine it for the full term.
 func TestUnrelatedEndsRequireSecondConclusiveEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bookWithUnrelatedEnds := func(unrelated int) *Book {
-			b := newTestBook()
+		trackerWithUnrelatedEnds := func(unrelated int) *Tracker {
+			b := newTestTracker()
 			for i := range unrelated {
-				b.Ended(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
+				b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 			}
-			b.Ended(fatal, newEnd(1, "a"))
-			b.Ended(fatal, newEnd(2, "a"))
-			b.Ended(fatal, newIsolatedEnd(3, "a"))
+			b.RecordEnd(fatal, newEnd(1, "a"))
+			b.RecordEnd(fatal, newEnd(2, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
 			time.Sleep(provisionalTerm)
 			return b
 		}
 		Convey("With two unrelated ends, one conclusive end is enough", t, func() {
-			So(bookWithUnrelatedEnds(2).Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(trackerWithUnrelatedEnds(2).Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, the request runs isolated again until a second conclusive end", t, func() {
-			b := bookWithUnrelatedEnds(3)
+			b := trackerWithUnrelatedEnds(3)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.Ended(fatal, newIsolatedEnd(4, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(4, "a"))
 			time.Sleep(provisionalTerm)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, an answer clears the request", t, func() {
-			b := bookWithUnrelatedEnds(3)
-			b.Answered(fatal, "a")
+			b := trackerWithUnrelatedEnds(3)
+			b.RecordAnswer(fatal, "a")
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
 		})
 		Convey("Ends attributed to another request are not unrelated", t, func() {
-			b := bookWithUnrelatedEnds(3)
+			b := trackerWithUnrelatedEnds(3)
 			for i := range 3 {
-				b.Ended(9, newIsolatedEnd(EndID(100+i), "a"))
+				b.RecordEnd(9, newIsolatedEnd(EndID(100+i), "a"))
 			}
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
@@ -165,28 +165,28 @@
 func TestEndCausedByAnotherRequest(t *testing.T) {
 	const harmless = Fingerprint(8)
 	synctest.Test(t, func(t *testing.T) {
-		bookWithSharedEnd := func() *Book {
-			b := newTestBook()
-			b.Ended(harmless, newEnd(1, "a"))
-			b.Ended(harmless, newEnd(2, "a"))
-			b.Ended(harmless, newIsolatedEnd(3, "a"))
-			b.Ended(fatal, newEnd(3, "a"))
+		trackerWithSharedEnd := func() *Tracker {
+			b := newTestTracker()
+			b.RecordEnd(harmless, newEnd(1, "a"))
+			b.RecordEnd(harmless, newEnd(2, "a"))
+			b.RecordEnd(harmless, newIsolatedEnd(3, "a"))
+			b.RecordEnd(fatal, newEnd(3, "a"))
 			time.Sleep(provisionalTerm)
 			return b
 		}
 		Convey("Once the other request is known, it is quarantined and the harmless one runs isolated", t, func() {
-			b := bookWithSharedEnd()
+			b := trackerWithSharedEnd()
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
-			b.Ended(fatal, newEnd(4, "a"))
-			b.Ended(fatal, newIsolatedEnd(5, "a"))
+			b.RecordEnd(fatal, newEnd(4, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(5, "a"))
 			time.Sleep(provisionalTerm)
 			So(b.Stage(harmless, "a"), ShouldEqual, Isolated)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("Not if the other request has since been answered", t, func() {
-			b := bookWithSharedEnd()
-			b.Ended(fatal, newIsolatedEnd(5, "a"))
-			b.Answered(fatal, "a")
+			b := trackerWithSharedEnd()
+			b.RecordEnd(fatal, newIsolatedEnd(5, "a"))
+			b.RecordAnswer(fatal, "a")
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
 		})
 	})
@@ -196,21 +196,21 @@
 func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The request runs isolated after its term, and a further end doubles the term", t, func() {
-			b := newTestBook()
-			b.Ended(fatal, newEnd(1, "a"))
-			b.Ended(fatal, newEnd(2, "a"))
-			b.Ended(fatal, newIsolatedEnd(3, "a"))
+			b := newTestTracker()
+			b.RecordEnd(fatal, newEnd(1, "a"))
+			b.RecordEnd(fatal, newEnd(2, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
 			time.Sleep(Term - time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.Ended(fatal, newIsolatedEnd(4, "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(4, "a"))
 			time.Sleep(2*Term - time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
 			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
 			time.Sleep(recordTTL)
-			b.Ended(1, newEnd(5, "a"))
+			b.RecordEnd(1, newEnd(5, "a"))
 			So(b.Stage(fatal, "a"), ShouldEqual, Free)
 			So(len(b.records), ShouldEqual, 1)
 		})
@@ -221,11 +221,11 @@
 func TestRepeatedReportsDoNotExtendTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Both nodes drop the record after recordTTL", t, func() {
-			a, b := newTestBook(), newTestBook()
-			a.Ended(fatal, newEnd(1, "a"))
+			a, b := newTestTracker(), newTestTracker()
+			a.RecordEnd(fatal, newEnd(1, "a"))
 			for range 60 {
-				b.Learn(a.Since(Cursor{}))
-				a.Learn(b.Since(Cursor{}))
+				b.Merge(a.ChangesSince(Cursor{}))
+				a.Merge(b.ChangesSince(Cursor{}))
 				time.Sleep(recordTTL / 50)
 			}
 			a.sweep()
@@ -238,24 +238,24 @@
 // Hundreds of instances end, each with many requests in progress.
 func TestRecordsAreBounded(t *testing.T) {
 	Convey("Quarantined requests are evicted last", t, func() {
-		b := newTestBook()
+		b := newTestTracker()
 		for i := range 3 {
-			b.Ended(fatal, newIsolatedEnd(EndID(i+1), "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(EndID(i+1), "a"))
 		}
 		for i := range 2 * maxRecords {
-			b.Ended(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
+			b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 		}
 		So(len(b.records), ShouldBeLessThanOrEqualTo, maxRecords)
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
 	})
-	Convey("Cleared ends of a request are replaced first", t, func() {
-		b := newTestBook()
+	Convey("Answered ends of a request are replaced first", t, func() {
+		b := newTestTracker()
 		for i := range 3 * maxEnds {
-			b.Ended(fatal, newEnd(EndID(i+1), "a"))
-			b.Answered(fatal, "a")
+			b.RecordEnd(fatal, newEnd(EndID(i+1), "a"))
+			b.RecordAnswer(fatal, "a")
 		}
 		for i := range 3 {
-			b.Ended(fatal, newIsolatedEnd(EndID(1000+i), "a"))
+			b.RecordEnd(fatal, newIsolatedEnd(EndID(1000+i), "a"))
 		}
 		So(len(b.records[fatal].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
 		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
@@ -267,10 +267,10 @@
 func TestIsolatedRequestExcludesSuspects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Suspects run concurrently; suspect and isolated requests exclude each other", t, func() {
-			l := NewLane()
+			l := NewIsolationLock()
 			enter := func(s Stage) (release func(), waited time.Duration, ok bool) {
 				start := time.Now()
-				release, ok = l.Enter(t.Context(), s, time.Second)
+				release, ok = l.Acquire(t.Context(), s, time.Second)
 				return release, time.Since(start), ok
 			}
 			first, _, _ := enter(Suspect)
@@ -304,9 +304,9 @@
 		identity := func(s string) string { return s }
 		moved := 0
 		for f := range Fingerprint(300) {
-			selected := Home(f, []string{"a", "b", "c"}, identity)
-			So(Home(f, []string{"c", "a", "b"}, identity), ShouldResemble, selected)
-			rest := Home(f, []string{"b", "c"}, identity)
+			selected := IsolationInstance(f, []string{"a", "b", "c"}, identity)
+			So(IsolationInstance(f, []string{"c", "a", "b"}, identity), ShouldResemble, selected)
+			rest := IsolationInstance(f, []string{"b", "c"}, identity)
 			if selected[0] == "a" {
 				moved++
 			} else {
@@ -314,6 +314,6 @@
 			}
 		}
 		So(moved, ShouldBeBetween, 60, 140)
-		So(Home(1, nil, identity), ShouldBeEmpty)
+		So(IsolationInstance(1, nil, identity), ShouldBeEmpty)
 	})
 }
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -31,13 +31,14 @@
 )
 
 type (
-	// simulation runs a service's instances under mostly harmless requests,
-	// each with its own fingerprint, and a few fatal ones that end every
-	// instance that runs them. Each instance has a node with a Book. Changes to
-	// one Book reach the others after the propagation delay.
+	// simulation runs a service's instances under mostly harmless
+	// requests, each with its own fingerprint, and a few fatal ones that
+	// end every instance that runs them. Each instance has a node with a
+	// Tracker. Changes to one Tracker reach the others after the
+	// propagation delay.
 	simulation struct {
 		rng             *rand.Rand
-		books           []*Book
+		trackers        []*Tracker
 		instances       []*instance
 		propagation     time.Duration
 		spontaneousEnds float64 // per second
@@ -69,7 +70,7 @@
 func newSimulation(seed uint64, instances int, propagation time.Duration) *simulation {
 	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, fatalRuns: map[Fingerprint]int{}, ended: map[Fingerprint][]time.Time{}, lateEnds: map[Fingerprint]int{}}
 	for i := range instances {
-		s.books = append(s.books, newTestBook())
+		s.trackers = append(s.trackers, newTestTracker())
 		s.instances = append(s.instances, &instance{name: strconv.Itoa(i), upSince: time.Now()})
 	}
 	return s
@@ -81,7 +82,7 @@
 	if node%2 == 1 {
 		caller = "b"
 	}
-	b := s.books[node]
+	b := s.trackers[node]
 	var candidates []*instance
 	for _, in := range s.instances {
 		if !in.upSince.After(time.Now()) && len(in.executions) < maxConcurrent {
@@ -104,8 +105,8 @@
 // the next one if that is down: an ended instance stays listed for a while.
 func (s *simulation) runIsolated(e *execution) {
 	for remaining := slices.Clone(s.instances); len(remaining) > 0; {
-		in := Home(e.fingerprint, remaining, func(in *instance) string { return in.name })[0]
-		if s.bookOf(in).Stage(e.fingerprint, e.caller) == Quarantined {
+		in := IsolationInstance(e.fingerprint, remaining, func(in *instance) string { return in.name })[0]
+		if s.trackerOf(in).Stage(e.fingerprint, e.caller) == Quarantined {
 			return
 		}
 		if !in.upSince.After(time.Now()) {
@@ -129,7 +130,7 @@
 
 // start simulates the node beside the instance.
 func (s *simulation) start(in *instance, e *execution, timeout time.Duration) {
-	e.stage = s.bookOf(in).Stage(e.fingerprint, e.caller)
+	e.stage = s.trackerOf(in).Stage(e.fingerprint, e.caller)
 	switch {
 	case e.stage == Quarantined || in.upSince.After(time.Now()):
 		return
@@ -158,10 +159,10 @@
 	return false
 }
 
-func (s *simulation) bookOf(in *instance) *Book {
+func (s *simulation) trackerOf(in *instance) *Tracker {
 	for i := range s.instances {
 		if s.instances[i] == in {
-			return s.books[i]
+			return s.trackers[i]
 		}
 	}
 	return nil
@@ -190,19 +191,19 @@
 }
 
 func (s *simulation) answered(in *instance, e *execution) {
-	b := s.bookOf(in)
-	if b.Answered(e.fingerprint, e.caller) {
+	b := s.trackerOf(in)
+	if b.RecordAnswer(e.fingerprint, e.caller) {
 		s.propagate(b, e.fingerprint)
 	}
 }
 
 func (s *simulation) crash(in *instance) {
-	b := s.bookOf(in)
+	b := s.trackerOf(in)
 	s.lastID++
 	var fingerprints []Fingerprint
 	interrupted := in.executions
 	for _, e := range in.executions {
-		b.Ended(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Alone: e.stage == Isolated})
+		b.RecordEnd(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
 		fingerprints = append(fingerprints, e.fingerprint)
 		if !e.fatal {
 			s.bystanders = append(s.bystanders, e.fingerprint)
@@ -216,17 +217,18 @@
 	in.executions, in.upSince = nil, time.Now().Add(downTime)
 	s.propagate(b, fingerprints...)
 	for _, e := range interrupted {
-		at := s.rng.IntN(len(s.books))
+		at := s.rng.IntN(len(s.trackers))
 		s.schedule(retryDelay, func() { s.arrive(e.fingerprint, e.fatal, at) }) // retry by the caller
 	}
 }
 
-// propagate sends a Book's records to all nodes after the propagation delay.
-func (s *simulation) propagate(b *Book, fs ...Fingerprint) {
-	report := b.Of(fs)
+// propagate sends a Tracker's records to all nodes after the propagation
+// delay.
+func (s *simulation) propagate(b *Tracker, fs ...Fingerprint) {
+	report := b.Records(fs)
 	time.AfterFunc(s.propagation, func() {
-		for _, other := range s.books {
-			other.Learn(report)
+		for _, other := range s.trackers {
+			other.Merge(report)
 		}
 	})
 }
@@ -238,10 +240,10 @@
 	for elapsed := time.Duration(0); elapsed < d; elapsed += tick {
 		for due += rate * tick.Seconds(); due >= 1; due-- {
 			s.next++
-			s.arrive(s.next, false, s.rng.IntN(len(s.books)))
+			s.arrive(s.next, false, s.rng.IntN(len(s.trackers)))
 		}
 		if interval > 0 && elapsed%interval == 0 {
-			s.arrive(fatal[int(elapsed/interval)%len(fatal)], true, s.rng.IntN(len(s.books)))
+			s.arrive(fatal[int(elapsed/interval)%len(fatal)], true, s.rng.IntN(len(s.trackers)))
 		}
 		pending := s.scheduled
 		s.scheduled = nil
@@ -269,7 +271,7 @@
 
 // worstStage returns the highest stage for any caller.
 func (s *simulation) worstStage(f Fingerprint) Stage {
-	return max(s.books[0].Stage(f, "a"), s.books[0].Stage(f, "b"))
+	return max(s.trackers[0].Stage(f, "a"), s.trackers[0].Stage(f, "b"))
 }
 
 type scenario struct {
@@ -350,8 +352,8 @@
 					s := newSimulation(seed, 6, 8*time.Millisecond)
 					s.run(time.Second, 240, nil, 0)
 					s.run(15*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
-					for i := range s.books {
-						s.books[i] = newTestBook()
+					for i := range s.trackers {
+						s.trackers[i] = newTestTracker()
 					}
 					s.run(20*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
 					So(s.lateEnds[1], ShouldBeLessThanOrEqualTo, maxLateEnds)
--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -19,7 +19,7 @@
 	}
 	key, ok := n.apiKey(r.Header)
 	if ok {
-		if a := routes.Accounts.Holder(key); a != nil {
+		if a := routes.Accounts.ByKey(key); a != nil {
 			return a, nil
 		}
 	}
@@ -64,7 +64,7 @@
 	if !n.cfg.Policies.Limits {
 		return nil
 	}
-	ok, retryAfter := n.limiter.Take(a)
+	ok, retryAfter := n.limiter.Allow(a)
 	if ok {
 		return nil
 	}
--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -20,8 +20,8 @@
 	small = account.Account{Name: "small", Keys: []account.Digest{account.DigestOf("ks")}}
 )
 
-func newAccountBook(t testing.TB, all ...account.Account) *account.Book {
-	b, err := account.NewBook(all)
+func newAccountRegistry(t testing.TB, all ...account.Account) *account.Registry {
+	b, err := account.NewRegistry(all)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 // with them. Callers need the key of account large or small.
 func newAccountMesh(t *testing.T) *mesh {
 	m := newMesh(t, "entwurf", "archiv")
-	m.accounts = newAccountBook(t, large, small)
+	m.accounts = newAccountRegistry(t, large, small)
 	m.updateAll(2)
 	return m
 }
@@ -98,7 +98,7 @@
 		So(code, ShouldEqual, http.StatusOK)
 		other := large
 		other.Keys = []account.Digest{account.DigestOf("kl2"), account.DigestOf("new")}
-		m.accounts = newAccountBook(t, other, small)
+		m.accounts = newAccountRegistry(t, other, small)
 		m.updateAll(3)
 		for key, want := range map[string]int{"kl": http.StatusUnauthorized, "kl2": http.StatusOK, "new": http.StatusOK} {
 			code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key " + key}})
@@ -149,7 +149,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	routes.Accounts = newAccountBook(t, large, small)
+	routes.Accounts = newAccountRegistry(t, large, small)
 	rank := func(a *account.Account, route int) int {
 		r, total := routes.Rank(a, &testRoutes[route])
 		return admit.ScaleRank(r, total)
@@ -204,7 +204,7 @@
 	m := newMesh(t, "entwurf", "archiv")
 	n := m.vms[0]
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 4, Burst: 2}
-	m.accounts = newAccountBook(t, limited, small)
+	m.accounts = newAccountRegistry(t, limited, small)
 	m.updateAll(2)
 	send := func(key string) (string, reply) {
 		return m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
@@ -230,7 +230,7 @@
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
 	Convey("A refusal for overload does not consume the limit", t, func() {
-		n.node.limiter.Keep(newAccountBook(t, small)) // resets the usage
+		n.node.limiter.SetRegistry(newAccountRegistry(t, small)) // resets the usage
 		n.node.admission = admitNone{}
 		for range 40 {
 			_, got := send("k")
@@ -247,7 +247,7 @@
 func TestNodesShareAccountUsage(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 40, Burst: 40}
-	m.accounts = newAccountBook(t, limited)
+	m.accounts = newAccountRegistry(t, limited)
 	m.updateAll(2)
 	Convey("Both nodes together admit the limit within tolerance", t, func() {
 		const sent = 500
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -66,7 +66,7 @@
 func (n *Node) recordOutcome(q *request, a call.Answer, canceled bool) {
 	elapsed := time.Since(q.received)
 	if a.Status == call.NotRun {
-		n.limiter.Return(q.account)
+		n.limiter.Refund(q.account)
 	}
 	n.stats.observeRequest(q.route, q.Service, a.Status, elapsed)
 	var saturated time.Duration
@@ -121,14 +121,14 @@
 			return nil, refused
 		}
 		if refused := n.admitNew(rt, origin.level, timeout); refused != nil {
-			n.limiter.Return(origin.account)
+			n.limiter.Refund(origin.account)
 			refused.account = origin.account
 			return nil, refused
 		}
 	}
 	body, refused := n.readBody(w, r, routes.Limits.BodyBytes, received.Add(timeout))
 	if refused != nil {
-		n.limiter.Return(origin.account)
+		n.limiter.Refund(origin.account)
 		refused.account = origin.account
 		return nil, refused
 	}
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -126,7 +126,7 @@
 	defer context.AfterFunc(n.untilDrain, cancel)()
 	n.member.Wanted()
 	if req.Told != nil {
-		go cancelOnUpdate(ctx, n.quarantine.News(*req.Told), cancel)
+		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Told), cancel)
 	}
 	delta := n.dir.Await(ctx, req.After, min(req.Wait, maxPollWait))
 	if _, draining := n.drainingSince(); draining || !n.dir.Listed() {
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -11,8 +11,8 @@
 func (n *Node) applyView(v *directory.View) {
 	n.balancer.Prune(v)
 	n.queryUnlisted(v)
-	if b := n.accountBook(); b != nil {
-		n.limiter.Keep(b)
+	if b := n.accountRegistry(); b != nil {
+		n.limiter.SetRegistry(b)
 	}
 	in, ok := v.At(n.cfg.Target)
 	if !ok {
--- a/sidecar/mesh_test.go
+++ b/sidecar/mesh_test.go
@@ -42,7 +42,7 @@
 		// serve replaces fakeTarget if set.
 		serve func(l net.Listener, id string)
 		// accounts are included in the routes; nil for none.
-		accounts *account.Book
+		accounts *account.Registry
 	}
 
 	// emptySource is a directory source without contents.
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -100,10 +100,10 @@
 		vouchChecker *vouch.Checker // vouches for the local instance
 		vouchQueries pendingQueries // for unlisted instances
 		exits        exitDetector   // of the local target
-		quarantine   *quarantine.Book
-		isolation    *quarantine.Lane // restricts concurrency at the local target
-		reports      reportQueue      // outgoing quarantine reports
-		peerCursors  cursorTable      // positions in the quarantine records of peers
+		quarantine   *quarantine.Tracker
+		isolation    *quarantine.IsolationLock // restricts concurrency at the local target
+		reports      reportQueue               // outgoing quarantine reports
+		peerCursors  cursorTable               // positions in the quarantine records of peers
 		limiter      *account.Limiter
 		exchange     *account.Exchange // shares account usage between nodes
 		member       *membership.Member
@@ -162,7 +162,7 @@
 		stats:        newStats(cfg.Name),
 		retryBudgets: map[string]*budget.RetryWindow{},
 		vouchQueries: pendingQueries{pending: map[directory.Start]bool{}},
-		isolation:    quarantine.NewLane(),
+		isolation:    quarantine.NewIsolationLock(),
 		peerCursors:  cursorTable{cursors: map[membership.Addr]quarantine.Cursor{}},
 		stop:         make(chan struct{}),
 
@@ -177,7 +177,7 @@
 	n.member = membership.New(n.membershipConfig(self))
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
-	n.quarantine = quarantine.NewBook(quarantine.Config{Off: !cfg.Policies.Quarantine, Log: cfg.Log})
+	n.quarantine = quarantine.NewTracker(quarantine.Config{Disabled: !cfg.Policies.Quarantine, Log: cfg.Log})
 	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.SourceLost})
 	loadAdmission := cfg.Policies.admission(n.thresholds)
 	n.successRates = admit.NewSuccessRateLimiter(loadAdmission)
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -57,7 +57,7 @@
 	if len(confirmed) > 0 {
 		candidates = confirmed
 	}
-	return quarantine.Home(qs.fingerprint, candidates, func(in directory.Instance) string { return in.Addr })
+	return quarantine.IsolationInstance(qs.fingerprint, candidates, func(in directory.Instance) string { return in.Addr })
 }
 
 // enterIsolation waits until the request may run concurrently with those at
@@ -71,7 +71,7 @@
 	if wait <= 0 {
 		wait = isolationWait
 	}
-	return n.isolation.Enter(ctx, qs.stage, wait)
+	return n.isolation.Acquire(ctx, qs.stage, wait)
 }
 
 // stillAllowed reports whether a request may run after queueing. Its stage
@@ -89,7 +89,7 @@
 	a.Held = now >= quarantine.Isolated
 	if now == quarantine.Quarantined {
 		a.Reason = "quarantined: instances ended under this request"
-		a.RetryAfter = max(a.RetryAfter, n.quarantine.Left(qs.fingerprint, qs.caller))
+		a.RetryAfter = max(a.RetryAfter, n.quarantine.Remaining(qs.fingerprint, qs.caller))
 	}
 	return a
 }
@@ -110,9 +110,9 @@
 func (n *Node) recordAttempt(qs quarantineState, a *call.Answer) bool {
 	switch {
 	case a.Ended != nil:
-		return n.quarantine.Ended(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.Ended.ID), Caller: qs.caller, Alone: a.Ended.Alone})
+		return n.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.Ended.ID), Caller: qs.caller, Isolated: a.Ended.Alone})
 	case a.HTTP != nil:
-		return n.quarantine.Answered(qs.fingerprint, qs.caller)
+		return n.quarantine.RecordAnswer(qs.fingerprint, qs.caller)
 	}
 	return false
 }
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -67,7 +67,7 @@
 	fingerprints := queue.fingerprints
 	queue.fingerprints = nil
 	queue.mu.Unlock()
-	body := n.encodeReport(n.quarantine.Of(fingerprints))
+	body := n.encodeReport(n.quarantine.Records(fingerprints))
 	for _, addr := range n.member.AllReaders() {
 		go n.sendReportWithRetry(addr, body)
 	}
@@ -97,7 +97,7 @@
 	}
 	reply, err := decodeReport(a.News)
 	if err == nil {
-		n.queueReport(n.quarantine.Learn(reply)...)
+		n.queueReport(n.quarantine.Merge(reply)...)
 	}
 	return err
 }
@@ -123,8 +123,8 @@
 	if err != nil {
 		return n.malformedAnswer(r, err)
 	}
-	n.quarantine.Learn(received)
-	return call.Answer{ID: r.ID, Status: call.OK, News: n.encodeReport(n.quarantine.Of(received.Of()))}
+	n.quarantine.Merge(received)
+	return call.Answer{ID: r.ID, Status: call.OK, News: n.encodeReport(n.quarantine.Records(received.Fingerprints()))}
 }
 
 func decodeReport(b []byte) (quarantine.Report, error) {
@@ -147,7 +147,7 @@
 	if cursor == nil {
 		return nil
 	}
-	return n.encodeReport(n.quarantine.Since(*cursor))
+	return n.encodeReport(n.quarantine.ChangesSince(*cursor))
 }
 
 // applyUpdate applies the quarantine records in another node's response. A
@@ -162,7 +162,7 @@
 		n.decisions.Note("news_not_understood", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 		return
 	}
-	n.quarantine.Learn(report)
+	n.quarantine.Merge(report)
 	n.peerCursors.set(addr, report.Next)
 }
 
@@ -181,18 +181,18 @@
 
 // cancelOnUpdate calls cancel on an update: immediately if it is urgent,
 // otherwise after updateBatchDelay. It returns early when ctx ends.
-func cancelOnUpdate(ctx context.Context, updates quarantine.News, cancel context.CancelFunc) {
+func cancelOnUpdate(ctx context.Context, updates quarantine.Watch, cancel context.CancelFunc) {
 	defer cancel()
 	select {
-	case <-updates.Any:
-	case <-updates.Urgent:
+	case <-updates.Changed:
+	case <-updates.Escalated:
 		return
 	case <-ctx.Done():
 		return
 	}
 	select {
 	case <-time.After(updateBatchDelay):
-	case <-updates.Urgent:
+	case <-updates.Escalated:
 	case <-ctx.Done():
 	}
 }
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -22,15 +22,15 @@
 func (n *Node) newExchange() *account.Exchange {
 	return account.NewExchange(account.ExchangeConfig{
 		Self: account.Source(n.member.Self()), DC: account.Source(n.cfg.DC),
-		Book: n.accountBook, Nodes: n.collectors, Tell: n.reportUsage,
-		Failed: func(addr account.Source, err error) {
+		Registry: n.accountRegistry, Collectors: n.collectors, Send: n.reportUsage,
+		OnError: func(addr account.Source, err error) {
 			n.decisions.Note("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 		},
 	}, n.limiter)
 }
 
-// accountBook returns the accounts of the current routes; nil for none.
-func (n *Node) accountBook() *account.Book {
+// accountRegistry returns the accounts of the current routes; nil for none.
+func (n *Node) accountRegistry() *account.Registry {
 	if r := n.dir.View().Routes; r != nil {
 		return r.Accounts
 	}
@@ -64,7 +64,7 @@
 	}
 	var reply account.Standings
 	err = msgpack.Unmarshal(a.Body, &reply)
-	return reply.Of, eris.Wrap(err, "decode standings")
+	return reply.Entries, eris.Wrap(err, "decode standings")
 }
 
 // serveUsage handles usageOperation. A stopping node refuses reports, because
@@ -77,7 +77,7 @@
 	if err := msgpack.Unmarshal(r.Body, &received); err != nil {
 		return n.malformedAnswer(r, err)
 	}
-	body, err := msgpack.Marshal(account.Standings{Of: n.exchange.Take(received)})
+	body, err := msgpack.Marshal(account.Standings{Entries: n.exchange.HandleReport(received)})
 	if err != nil {
 		n.log.WithError(err).Error("standings_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
