--- a/balance/balance.go
+++ b/balance/balance.go
@@ -254,7 +254,7 @@
 // lower is better.
 func (b *Balancer) cost(in *directory.Instance, s *instanceState, now time.Time) float64 {
 	c := s.utilization(in)
-	if now.Before(in.ColdTill) {
+	if now.Before(in.ColdUntil) {
 		c *= coldFactor
 	}
 	if in.DC != b.cfg.DC {
@@ -285,10 +285,10 @@
 	return max(s.health.FailureRate(), b.cfg.Weights.ReportedHealth*decayed(s.reportedFailing, s.reportedAt))
 }
 
-// anyConfirmed reports whether any instance is neither leaving nor doubtful.
+// anyConfirmed reports whether any instance is neither leaving nor unconfirmed.
 func anyConfirmed(instances []directory.Instance) bool {
 	for i := range instances {
-		if !instances[i].Leaving && !instances[i].Doubtful {
+		if !instances[i].Leaving && !instances[i].Unconfirmed {
 			return true
 		}
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -201,18 +201,18 @@
 	})
 }
 
-// Doubtful instances may have left. They must be used only if there is no
+// Unconfirmed instances may have left. They must be used only if there is no
 // other instance at all.
-func TestDoubtfulInstancesAreLastResort(t *testing.T) {
-	Convey("A doubtful instance is picked only if there is no other at all", t, func() {
+func TestUnconfirmedInstancesAreLastResort(t *testing.T) {
+	Convey("An unconfirmed instance is picked only if there is no other at all", t, func() {
 		b := New(Config{DC: "nord", Weights: DefaultWeights()})
-		some := []directory.Instance{{ID: "a", Doubtful: true}, {ID: "b"}}
+		some := []directory.Instance{{ID: "a", Unconfirmed: true}, {ID: "b"}}
 		in, ok := b.Pick(PickRequest{Instances: some})
 		So(ok, ShouldBeTrue)
 		So(in.ID, ShouldEqual, directory.InstanceID("b"))
 		_, ok = b.Pick(PickRequest{Instances: some, Tried: []directory.InstanceID{"b"}})
 		So(ok, ShouldBeFalse)
-		all := []directory.Instance{{ID: "a", Doubtful: true}, {ID: "b", Leaving: true}}
+		all := []directory.Instance{{ID: "a", Unconfirmed: true}, {ID: "b", Leaving: true}}
 		in, ok = b.Pick(PickRequest{Instances: all})
 		So(ok, ShouldBeTrue)
 		So(in.ID, ShouldEqual, directory.InstanceID("a"))
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -19,7 +19,7 @@
 	b         *Balancer
 	ask       *PickRequest
 	now       time.Time
-	confirmed bool // an instance neither leaving nor doubtful exists
+	confirmed bool // an instance neither leaving nor unconfirmed exists
 	explore   bool
 
 	best, avoided         *directory.Instance
@@ -56,7 +56,7 @@
 }
 
 func (sel *selection) consider(in *directory.Instance) {
-	if in.Leaving || (sel.confirmed && in.Doubtful) || slices.Contains(sel.ask.Tried, in.ID) {
+	if in.Leaving || (sel.confirmed && in.Unconfirmed) || slices.Contains(sel.ask.Tried, in.ID) {
 		return
 	}
 	b := sel.b
--- a/directory/codec.go
+++ b/directory/codec.go
@@ -21,7 +21,7 @@
 		Services  message.List[Service]      `msgpack:"services"`
 		Routes    message.List[Route]        `msgpack:"routes"`
 		Instances message.List[wireInstance] `msgpack:"instances"`
-		Gone      message.List[Removal]      `msgpack:"gone"`
+		Removed   message.List[Removal]      `msgpack:"gone"`
 		// Accounted distinguishes routes with an empty list of accounts from
 		// routes that need no account.
 		Accounted bool                          `msgpack:"accounted,omitempty"`
@@ -32,26 +32,26 @@
 	// order of the fields is the wire format; field names would double its
 	// size.
 	wireInstance struct {
-		_msgpack struct{} `msgpack:",as_array"`
-		ID       InstanceID
-		Started  UnixMilli
-		Service  string
-		DC       callgraph.DC
-		Addr     string
-		Slots    int
-		Leaving  bool
-		ColdTill time.Time
-		Since    Revision
-		Revision Revision
+		_msgpack      struct{} `msgpack:",as_array"`
+		ID            InstanceID
+		Started       UnixMilli
+		Service       string
+		DC            callgraph.DC
+		Addr          string
+		Slots         int
+		Leaving       bool
+		ColdUntil     time.Time
+		FirstRevision Revision
+		Revision      Revision
 	}
 )
 
 // Encode returns the msgpack form of a delta.
 func Encode(x Delta) ([]byte, error) {
-	e := wireDelta{After: x.After, Revision: x.Revision, Age: x.Age, Gone: x.Gone}
+	e := wireDelta{After: x.After, Revision: x.Revision, Age: x.Age, Removed: x.Removed}
 	for _, in := range x.Instances {
 		e.Instances = append(e.Instances, wireInstance{ID: in.ID, Started: in.Started, Service: in.Service, DC: in.DC, Addr: in.Addr,
-			Slots: in.Slots, Leaving: in.Leaving, ColdTill: in.ColdTill, Since: in.Since, Revision: in.Revision})
+			Slots: in.Slots, Leaving: in.Leaving, ColdUntil: in.ColdUntil, FirstRevision: in.FirstRevision, Revision: in.Revision})
 	}
 	if x.Routes != nil {
 		e.Version, e.Limits, e.Services = x.Routes.Version, x.Routes.Limits, x.Routes.Services
@@ -73,10 +73,10 @@
 	if err := msgpack.Unmarshal(b, &e); err != nil {
 		return Delta{}, eris.Wrap(err, "decode delta")
 	}
-	x := Delta{After: e.After, Gone: e.Gone, Age: e.Age, Snapshot: Snapshot{Revision: e.Revision}}
+	x := Delta{After: e.After, Removed: e.Removed, Age: e.Age, Snapshot: Snapshot{Revision: e.Revision}}
 	for _, in := range e.Instances {
 		x.Instances = append(x.Instances, Instance{ID: in.ID, Started: in.Started, Service: in.Service, DC: in.DC, Addr: in.Addr,
-			Slots: in.Slots, Leaving: in.Leaving, ColdTill: in.ColdTill, Since: in.Since, Revision: in.Revision})
+			Slots: in.Slots, Leaving: in.Leaving, ColdUntil: in.ColdUntil, FirstRevision: in.FirstRevision, Revision: in.Revision})
 	}
 	if e.Version == 0 {
 		return x, nil
@@ -105,5 +105,5 @@
 func (e *wireInstance) DecodeMsgpack(d *msgpack.Decoder) error {
 	*e = wireInstance{}
 	return message.Decode(d, (*string)(&e.ID), (*int64)(&e.Started), &e.Service, (*string)(&e.DC), &e.Addr, &e.Slots,
-		&e.Leaving, &e.ColdTill, (*uint64)(&e.Since), (*uint64)(&e.Revision))
+		&e.Leaving, &e.ColdUntil, (*uint64)(&e.FirstRevision), (*uint64)(&e.Revision))
 }
--- a/directory/codec_test.go
+++ b/directory/codec_test.go
@@ -20,9 +20,9 @@
 		t.Fatal(err)
 	}
 	r.Services = []Service{{Name: "archiv", HealthPath: "/health"}, {Name: "entwurf"}}
-	return Delta{After: 5, Age: time.Second, Gone: []Removal{{ID: "i-9", At: 6}}, Snapshot: Snapshot{Revision: 300, Routes: r, Instances: []Instance{
+	return Delta{After: 5, Age: time.Second, Removed: []Removal{{ID: "i-9", At: 6}}, Snapshot: Snapshot{Revision: 300, Routes: r, Instances: []Instance{
 		{ID: "i-1", Started: 1788000000123, Service: "archiv", DC: "nord", Addr: "10.1.0.8:8301", Slots: 108, Leaving: true,
-			ColdTill: time.Unix(1788000000, 5000).UTC(), Since: 4, Revision: 299}}}}
+			ColdUntil: time.Unix(1788000000, 5000).UTC(), FirstRevision: 4, Revision: 299}}}}
 }
 
 // Nodes of the previous version exchange deltas with this one, so the encoding
@@ -32,7 +32,7 @@
 		want := goldenDelta(t)
 		got, err := Decode(messagetest.Former(t, "delta"))
 		So(err, ShouldBeNil)
-		got.Instances[0].ColdTill = got.Instances[0].ColdTill.UTC()
+		got.Instances[0].ColdUntil = got.Instances[0].ColdUntil.UTC()
 		So(got, ShouldResemble, want)
 		ours, err := Encode(want)
 		So(err, ShouldBeNil)
--- a/directory/delta.go
+++ b/directory/delta.go
@@ -20,9 +20,9 @@
 	// that the sending node holds.
 	Delta struct {
 		Snapshot
-		After Revision // 0 if Snapshot is complete; entries missing from it were removed
-		Gone  []Removal
-		Age   time.Duration // upper bound for the age of the state
+		After   Revision // 0 if Snapshot is complete; entries missing from it were removed
+		Removed []Removal
+		Age     time.Duration // upper bound for the age of the state
 	}
 
 	// removals holds the revision of the latest removal of each instance,
@@ -82,7 +82,7 @@
 	}
 	for id, at := range d.removals.revisions {
 		if at > x.After {
-			x.Gone = append(x.Gone, Removal{ID: id, At: at})
+			x.Removed = append(x.Removed, Removal{ID: id, At: at})
 		}
 	}
 	return x
@@ -111,10 +111,10 @@
 	}
 }
 
-// Learn applies a delta from another node if it is newer than the state held
-// here, and reports whether it was. A watch in progress is restarted from the
-// new revision. It is safe for concurrent use.
-func (d *Directory) Learn(x Delta) bool {
+// ApplyDelta applies a delta from another node if it is newer than the state
+// held here, and reports whether it was. A watch in progress is restarted from
+// the new revision. It is safe for concurrent use.
+func (d *Directory) ApplyDelta(x Delta) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if x.After > d.revision {
@@ -138,12 +138,12 @@
 
 // changes returns the contents of a delta as changes of a source.
 func (x *Delta) changes() []Change {
-	cs := make([]Change, 0, len(x.Instances)+len(x.Gone)+1)
+	cs := make([]Change, 0, len(x.Instances)+len(x.Removed)+1)
 	if x.Routes != nil {
 		cs = append(cs, Change{Routes: x.Routes})
 	}
-	for _, g := range x.Gone {
-		cs = append(cs, Change{Gone: g.ID, GoneAt: g.At})
+	for _, g := range x.Removed {
+		cs = append(cs, Change{Removed: g.ID, RemovedAt: g.At})
 	}
 	for i := range x.Instances {
 		cs = append(cs, Change{Instance: &x.Instances[i]})
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -10,29 +10,29 @@
 
 const (
 	// minOutage is the shortest outage of the source after which missing
-	// entries are kept as doubtful: the source may have expired instances whose
-	// reports did not reach it.
+	// entries are kept as unconfirmed: the source may have expired instances
+	// whose reports did not reach it.
 	minOutage = 1500 * time.Millisecond
 	// outageGrace is how long such entries are kept once the source is back.
 	// Live instances are listed again within about two seconds.
 	outageGrace = 2500 * time.Millisecond
-	// unlistedGrace is how long an entry is kept as doubtful that was removed
-	// while the instance was not leaving. Meanwhile the node of the instance is
-	// asked to confirm it.
+	// unlistedGrace is how long an entry is kept as unconfirmed that was
+	// removed while the instance was not leaving. Meanwhile the node of the
+	// instance is asked to confirm it.
 	unlistedGrace = 600 * time.Millisecond
 )
 
 type (
 	// Change is one change of what a source lists. Exactly one of Instance,
-	// Gone, Routes and Refused is set.
+	// Removed, Routes and Invalid is set.
 	Change struct {
-		Instance *Instance
-		Gone     InstanceID
-		GoneAt   Revision // revision of the removal, with Gone
-		Routes   *Routes
-		// Refused is the instance whose entry is invalid or cannot be decoded.
+		Instance  *Instance
+		Removed   InstanceID
+		RemovedAt Revision // revision of the removal, with Removed
+		Routes    *Routes
+		// Invalid is the instance whose entry is invalid or cannot be decoded.
 		// What is known under its ID stays in use.
-		Refused InstanceID
+		Invalid InstanceID
 	}
 
 	// Snapshot is everything that a source listed at a revision.
@@ -40,23 +40,24 @@
 		Revision  Revision
 		Routes    *Routes
 		Instances []Instance
-		Refused   []InstanceID // instances with invalid entries, as in Change
+		Invalid   []InstanceID // instances with invalid entries, as in Change
 	}
 
 	// Config configures a Directory. With the zero value, removed entries are
 	// dropped at once and the first watch after a change is not spread; Log is
 	// required.
 	Config struct {
-		// AskGrace is how long an unlisted entry is kept as doubtful while the
-		// node of the instance is asked to confirm it; 0 drops it at once.
-		AskGrace time.Duration
-		// ReturnGrace is how long an entry is kept as doubtful that is missing
-		// after an outage of the source; 0 drops it at once.
-		ReturnGrace time.Duration
-		// Spread draws the duration of the first watch after a change at
+		// UnlistedGrace is how long an unlisted entry is kept as unconfirmed
+		// while the node of the instance is asked to confirm it; 0 drops it at
+		// once.
+		UnlistedGrace time.Duration
+		// OutageGrace is how long an entry is kept as unconfirmed that is
+		// missing after an outage of the source; 0 drops it at once.
+		OutageGrace time.Duration
+		// SpreadWatches draws the duration of the first watch after a change at
 		// random, so that the watches of all nodes do not end together.
-		Spread bool
-		Log    log.Interface
+		SpreadWatches bool
+		Log           log.Interface
 	}
 
 	// Directory holds the latest known state of one deployment. It is safe for
@@ -77,15 +78,15 @@
 		revision       Revision      // everything up to it is known
 		routesRevision Revision      // revision at which the routes were known
 		invalidEntries int           // total since the start
-		learned        chan struct{} // capacity 1; signals that Learn advanced revision during a watch
+		learned        chan struct{} // capacity 1; signals that ApplyDelta advanced revision during a watch
 		advanced       chan struct{} // closed and replaced when revision advances
 		onChange       []func(*View)
 	}
 )
 
-// Usual returns the default configuration.
-func Usual(l log.Interface) Config {
-	return Config{AskGrace: unlistedGrace, ReturnGrace: outageGrace, Spread: true, Log: l}
+// DefaultConfig returns the default configuration.
+func DefaultConfig(l log.Interface) Config {
+	return Config{UnlistedGrace: unlistedGrace, OutageGrace: outageGrace, SpreadWatches: true, Log: l}
 }
 
 // New returns an empty Directory.
@@ -99,9 +100,9 @@
 // View returns the current state. It is safe for concurrent use.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Listed reports whether a complete list of instances has been applied. It is
-// safe for concurrent use.
-func (d *Directory) Listed() bool {
+// HasSnapshot reports whether a complete list of instances has been applied. It
+// is safe for concurrent use.
+func (d *Directory) HasSnapshot() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listed
@@ -117,7 +118,7 @@
 }
 
 // Replace applies a snapshot. Entries missing from it are removed, or kept as
-// doubtful after an outage of the source. It is safe for concurrent use.
+// unconfirmed after an outage of the source. It is safe for concurrent use.
 func (d *Directory) Replace(s Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -131,10 +132,10 @@
 		knownTo = 0 // the snapshot is not older, so its entries were not removed since
 	}
 	present := map[InstanceID]bool{}
-	for _, id := range s.Refused {
+	for _, id := range s.Invalid {
 		present[id] = true
 	}
-	d.invalidEntries += len(s.Refused)
+	d.invalidEntries += len(s.Invalid)
 	for _, in := range s.Instances {
 		present[in.ID] = true
 		d.put(in, knownTo)
@@ -190,9 +191,9 @@
 			d.setRoutes(c.Routes, upTo)
 		case c.Instance != nil:
 			d.put(*c.Instance, knownTo)
-		case c.Gone != "":
-			d.remove(c.Gone, c.GoneAt)
-		case c.Refused != "":
+		case c.Removed != "":
+			d.remove(c.Removed, c.RemovedAt)
+		case c.Invalid != "":
 			d.invalidEntries++
 		}
 	}
@@ -230,7 +231,7 @@
 }
 
 // remove handles the removal of an entry. A leaving instance is dropped. Any
-// other may only have lost the source: it is kept as doubtful until its node
+// other may only have lost the source: it is kept as unconfirmed until its node
 // denies it or the grace period ends.
 func (d *Directory) remove(id InstanceID, at Revision) {
 	d.removals.add(id, at)
@@ -245,7 +246,7 @@
 	if _, already := d.unlisted[id]; already {
 		return
 	}
-	until := time.Now().Add(d.cfg.AskGrace)
+	until := time.Now().Add(d.cfg.UnlistedGrace)
 	if d.graceEnds.After(until) {
 		until = d.graceEnds
 	}
@@ -267,7 +268,7 @@
 func (d *Directory) publish() {
 	for id, in := range d.instances {
 		u, ok := d.unlisted[id]
-		in.Unlisted, in.Doubtful = ok, ok && !u.confirmed
+		in.Unlisted, in.Unconfirmed = ok, ok && !u.confirmed
 		d.instances[id] = in
 	}
 	v := newView(d.routes, d.instances)
@@ -277,9 +278,9 @@
 	}
 }
 
-// Refused returns the number of invalid entries read since the start. It is
-// safe for concurrent use.
-func (d *Directory) Refused() int {
+// InvalidEntries returns the number of invalid entries read since the start. It
+// is safe for concurrent use.
+func (d *Directory) InvalidEntries() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.invalidEntries
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -76,11 +76,11 @@
 // a newer version.
 func TestOlderRoutesNeverReplaceNewerOnes(t *testing.T) {
 	Convey("The version of the routes only increases", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		d.Replace(Snapshot{Revision: 9, Routes: testRoutes(t, 9)})
 		d.Apply([]Change{{Routes: testRoutes(t, 8)}}, 10)
 		So(d.View().Routes.Version, ShouldEqual, 9)
-		d.Learn(Delta{Snapshot: Snapshot{Revision: 11, Routes: testRoutes(t, 7)}})
+		d.ApplyDelta(Delta{Snapshot: Snapshot{Revision: 11, Routes: testRoutes(t, 7)}})
 		So(d.View().Routes.Version, ShouldEqual, 9)
 		d.Apply([]Change{{Routes: testRoutes(t, 12)}}, 12)
 		So(d.View().Routes.Version, ShouldEqual, 12)
@@ -90,16 +90,16 @@
 // A stale entry or removal that arrives late must not replace a newer entry.
 func TestOlderEntriesNeverReplaceNewerOnes(t *testing.T) {
 	Convey("The revision of an entry only increases", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		leaving := testInstance("a", 5)
 		leaving.Leaving = true
 		d.Replace(Snapshot{Revision: 5, Instances: []Instance{leaving}})
 		old := testInstance("a", 3)
 		d.Apply([]Change{{Instance: &old}}, 6)
 		So(d.View().Instances("archiv")[0].Leaving, ShouldBeTrue)
-		d.Apply([]Change{{Gone: "a", GoneAt: 4}}, 6)
+		d.Apply([]Change{{Removed: "a", RemovedAt: 4}}, 6)
 		So(len(d.View().Instances("archiv")), ShouldEqual, 1)
-		d.Apply([]Change{{Gone: "a", GoneAt: 7}}, 7)
+		d.Apply([]Change{{Removed: "a", RemovedAt: 7}}, 7)
 		So(d.View().Instances("archiv"), ShouldBeEmpty)
 	})
 }
@@ -109,9 +109,9 @@
 // even if their entries change again.
 func TestLatestInstanceOwnsAddress(t *testing.T) {
 	Convey("Only the latest instance at an address is returned", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		at := func(id InstanceID, service string, since, rev Revision) Instance {
-			return Instance{ID: id, Service: service, Addr: "10.1.0.8:80", Slots: 4, Since: since, Revision: rev}
+			return Instance{ID: id, Service: service, Addr: "10.1.0.8:80", Slots: 4, FirstRevision: since, Revision: rev}
 		}
 		d.Replace(Snapshot{Revision: 9, Instances: []Instance{at("old", "archiv", 2, 8), at("new", "archiv", 7, 7), testInstance("b", 3)}})
 		var ids []InstanceID
@@ -126,8 +126,8 @@
 			So(d.View().Instances("archiv"), ShouldHaveLength, 1)
 			So(d.View().Instances("versand"), ShouldHaveLength, 1)
 			Convey("The earlier one is returned again once the latest is removed", func() {
-				d.Apply([]Change{{Gone: "reused", GoneAt: 13}}, 13)
-				in, ok := d.View().At("10.1.0.8:80")
+				d.Apply([]Change{{Removed: "reused", RemovedAt: 13}}, 13)
+				in, ok := d.View().InstanceAt("10.1.0.8:80")
 				So(ok, ShouldBeTrue)
 				So(in.ID, ShouldEqual, InstanceID("new"))
 			})
@@ -140,22 +140,22 @@
 // every request.
 func TestMissingEntriesAreKeptForGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		d.Replace(Snapshot{Revision: 2, Instances: []Instance{testInstance("a", 1), testInstance("b", 2)}})
-		d.Away(time.Now(), errors.New("refused"))
+		d.SourceFailed(time.Now(), errors.New("refused"))
 		time.Sleep(6 * time.Second)
-		d.Back()
+		d.SourceAnswered()
 		d.Replace(Snapshot{Revision: 4})
 		Convey("Missing entries are kept until the grace period ends", t, func() {
 			So(len(d.View().Instances("archiv")), ShouldEqual, 2)
-			So(d.View().Instances("archiv")[0].Doubtful, ShouldBeTrue)
+			So(d.View().Instances("archiv")[0].Unconfirmed, ShouldBeTrue)
 			time.Sleep(2 * time.Second)
 			back := testInstance("a", 5)
 			d.Apply([]Change{{Instance: &back}}, 5)
 			in, _ := d.View().Find("a")
-			So(in.Doubtful, ShouldBeFalse)
+			So(in.Unconfirmed, ShouldBeFalse)
 			time.Sleep(time.Second)
-			d.Settle()
+			d.ExpireUnlisted()
 			ins := d.View().Instances("archiv")
 			So(len(ins), ShouldEqual, 1)
 			So(ins[0].ID, ShouldEqual, InstanceID("a"))
@@ -163,21 +163,21 @@
 		Convey("Without an outage a leaving instance is dropped at once", t, func() {
 			leaving := testInstance("a", 6)
 			leaving.Leaving = true
-			d.Apply([]Change{{Instance: &leaving}, {Gone: "a", GoneAt: 7}}, 7)
+			d.Apply([]Change{{Instance: &leaving}, {Removed: "a", RemovedAt: 7}}, 7)
 			So(d.View().Instances("archiv"), ShouldBeEmpty)
 		})
-		Convey("Any other is doubtful until its node denies it", t, func() {
+		Convey("Any other is unconfirmed until its node denies it", t, func() {
 			c := testInstance("c", 8)
-			d.Apply([]Change{{Instance: &c}, {Gone: "c", GoneAt: 9}}, 9)
-			So(d.View().Instances("archiv")[0].Doubtful, ShouldBeTrue)
-			d.Disown(c.Start())
+			d.Apply([]Change{{Instance: &c}, {Removed: "c", RemovedAt: 9}}, 9)
+			So(d.View().Instances("archiv")[0].Unconfirmed, ShouldBeTrue)
+			d.DropUnlisted(c.Start())
 			So(d.View().Instances("archiv"), ShouldBeEmpty)
 		})
 		Convey("Or the grace period ends without a confirmation", t, func() {
 			c := testInstance("c", 10)
-			d.Apply([]Change{{Instance: &c}, {Gone: "c", GoneAt: 11}}, 11)
+			d.Apply([]Change{{Instance: &c}, {Removed: "c", RemovedAt: 11}}, 11)
 			time.Sleep(unlistedGrace)
-			d.Settle()
+			d.ExpireUnlisted()
 			So(d.View().Instances("archiv"), ShouldBeEmpty)
 		})
 	})
@@ -196,7 +196,7 @@
 			ins = append(ins, testInstance(InstanceID(rune('a'+i)), 1))
 		}
 		src.set(Snapshot{Revision: 1, Routes: testRoutes(t, 1), Instances: ins}, nil)
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		go d.Follow(ctx, src)
 		time.Sleep(10 * time.Millisecond)
 		src.mu.Lock()
@@ -231,15 +231,15 @@
 			<-ctx.Done()
 			return nil, 0, ctx.Err()
 		}
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		go d.Follow(ctx, src)
 		Convey("The hung watch is replaced by one from the newer revision", t, func() {
 			So(<-after, ShouldEqual, 1)
-			So(d.Learn(Delta{Snapshot: Snapshot{Revision: 1, Routes: testRoutes(t, 2)}}), ShouldBeFalse)
-			So(d.Learn(Delta{Snapshot: Snapshot{Revision: 8, Routes: testRoutes(t, 2)}}), ShouldBeTrue)
+			So(d.ApplyDelta(Delta{Snapshot: Snapshot{Revision: 1, Routes: testRoutes(t, 2)}}), ShouldBeFalse)
+			So(d.ApplyDelta(Delta{Snapshot: Snapshot{Revision: 8, Routes: testRoutes(t, 2)}}), ShouldBeTrue)
 			So(<-after, ShouldEqual, 8)
 			So(d.View().Routes.Version, ShouldEqual, 2)
-			So(d.SourceAway(), ShouldBeFalse)
+			So(d.SourceUnreachable(), ShouldBeFalse)
 		})
 		cancel()
 		synctest.Wait()
@@ -248,7 +248,7 @@
 
 func TestDeltaEncodingRoundTrip(t *testing.T) {
 	Convey("Decode restores what Encode wrote", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		d.Replace(Snapshot{Revision: 7, Routes: testRoutes(t, 3), Instances: []Instance{testInstance("a", 4)}})
 		b, err := Encode(d.Since(0))
 		So(err, ShouldBeNil)
--- a/directory/entries_test.go
+++ b/directory/entries_test.go
@@ -11,14 +11,14 @@
 // start, from the source or a peer, must not replace the later start.
 func TestLaterStartWins(t *testing.T) {
 	Convey("Also if the entry of the earlier start was written last", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		restarted := testInstance("a", 5)
 		restarted.Started = 2000
 		d.Replace(Snapshot{Revision: 5, Instances: []Instance{restarted}})
 		stale := testInstance("a", 6)
 		stale.Started, stale.Leaving = 1000, true
 		d.Apply([]Change{{Instance: &stale}}, 6)
-		d.Learn(Delta{Snapshot: Snapshot{Revision: 7, Instances: []Instance{stale}}})
+		d.ApplyDelta(Delta{Snapshot: Snapshot{Revision: 7, Instances: []Instance{stale}}})
 		in, ok := d.View().Find("a")
 		So(ok, ShouldBeTrue)
 		So(in.Started, ShouldEqual, UnixMilli(2000))
@@ -31,18 +31,18 @@
 // ID.
 func TestInvalidEntriesDoNotHideInstances(t *testing.T) {
 	Convey("The instance is kept", t, func() {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		r := testRoutes(t, 3)
 		r.Services = []Service{{Name: "archiv", HealthPath: "/health"}}
 		invalid := testInstance("odd", 9)
-		invalid.Service, invalid.Addr, invalid.Since = "nobody", "a:1", 9
+		invalid.Service, invalid.Addr, invalid.FirstRevision = "nobody", "a:1", 9
 		d.Replace(Snapshot{Revision: 9, Routes: r, Instances: []Instance{testInstance("a", 3), invalid}})
 		So(d.View().Instances("archiv"), ShouldHaveLength, 1)
-		in, _ := d.View().At("a:1")
+		in, _ := d.View().InstanceAt("a:1")
 		So(in.ID, ShouldEqual, InstanceID("a"))
-		d.Replace(Snapshot{Revision: 10, Routes: r, Refused: []InstanceID{"a"}})
+		d.Replace(Snapshot{Revision: 10, Routes: r, Invalid: []InstanceID{"a"}})
 		So(d.View().Instances("archiv"), ShouldHaveLength, 1)
-		So(d.Refused(), ShouldEqual, 1)
+		So(d.InvalidEntries(), ShouldEqual, 1)
 		Convey("The entry is used once the routes name its service", func() {
 			named := testRoutes(t, 4)
 			named.Services = []Service{{Name: "archiv"}, {Name: "nobody"}}
@@ -58,7 +58,7 @@
 // held, although everything up to its revision is known, was removed.
 func TestDirectoryMatchesLatestWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		type fact struct {
 			started UnixMilli
 			rev     Revision
@@ -75,7 +75,7 @@
 			if rapid.Bool().Draw(t, "gone") {
 				rev = max(rev, in.Revision)
 				removed[in.ID] = max(removed[in.ID], in.Revision)
-				d.Apply([]Change{{Gone: in.ID, GoneAt: in.Revision}}, rev)
+				d.Apply([]Change{{Removed: in.ID, RemovedAt: in.Revision}}, rev)
 				if known && old.rev <= in.Revision {
 					old.gone = true
 					want[in.ID] = old
--- a/directory/instances.go
+++ b/directory/instances.go
@@ -27,18 +27,18 @@
 
 	// Instance is one running instance of a service.
 	Instance struct {
-		ID       InstanceID
-		Started  UnixMilli
-		Service  string
-		DC       callgraph.DC
-		Addr     string // host:port, reachable only from its own VM
-		Slots    int    // concurrent requests it serves
-		Leaving  bool   // takes no new requests
-		Unlisted bool   // its entry was removed although it was not leaving
-		Doubtful bool   // unlisted and not confirmed by its node: last resort only
-		ColdTill time.Time
-		Since    Revision // revision at which it was first listed
-		Revision Revision // revision at which its entry last changed
+		ID            InstanceID
+		Started       UnixMilli
+		Service       string
+		DC            callgraph.DC
+		Addr          string // host:port, reachable only from its own VM
+		Slots         int    // concurrent requests it serves
+		Leaving       bool   // takes no new requests
+		Unlisted      bool   // its entry was removed although it was not leaving
+		Unconfirmed   bool   // unlisted and not confirmed by its node: last resort only
+		ColdUntil     time.Time
+		FirstRevision Revision // revision at which it was first listed
+		Revision      Revision // revision at which its entry last changed
 	}
 
 	// serviceGroup holds the instances of one service.
@@ -88,7 +88,7 @@
 	if in.Unlisted != old.Unlisted {
 		return old.Unlisted
 	}
-	return old.Since < in.Since
+	return old.FirstRevision < in.FirstRevision
 }
 
 // Start returns the identity of this run of the instance.
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// Near returns the instances of a service in one data centre, as Instances
-// does.
-func (v *View) Near(service string, dc callgraph.DC) []Instance {
+// InstancesInDC returns the instances of a service in one data centre, as
+// Instances does.
+func (v *View) InstancesInDC(service string, dc callgraph.DC) []Instance {
 	if g := v.services[service]; g != nil {
 		return g.byDC[dc]
 	}
@@ -124,9 +124,9 @@
 	return s.HealthPath
 }
 
-// At returns the instance at a host:port address, the latest if several are
-// listed.
-func (v *View) At(addr string) (Instance, bool) {
+// InstanceAt returns the instance at a host:port address, the latest if several
+// are listed.
+func (v *View) InstanceAt(addr string) (Instance, bool) {
 	in, ok := v.byAddr[addr]
 	return in, ok
 }
@@ -137,9 +137,9 @@
 	return in, ok
 }
 
-// Unlisted returns the number of instances that are kept although their entries
-// were removed.
-func (v *View) Unlisted() int {
+// UnlistedCount returns the number of instances that are kept although their
+// entries were removed.
+func (v *View) UnlistedCount() int {
 	n := 0
 	for _, in := range v.byID {
 		if in.Unlisted {
--- a/directory/reader.go
+++ b/directory/reader.go
@@ -80,7 +80,7 @@
 
 // Follow keeps d up to date with a source until ctx ends.
 func (d *Directory) Follow(ctx context.Context, src Source) {
-	go d.SettleUntil(ctx)
+	go d.RunExpiry(ctx)
 	var b Backoff
 	r := d.NewReader(src, nil)
 	for ctx.Err() == nil {
@@ -95,7 +95,7 @@
 // Step makes one call to the source, applies the result and, after a change,
 // pauses for the batch delay. It returns the error of the source or of ctx.
 func (r *Reader) Step(ctx context.Context) error {
-	if r.reload || !r.d.Listed() {
+	if r.reload || !r.d.HasSnapshot() {
 		return r.load(ctx)
 	}
 	return r.watch(ctx)
@@ -107,10 +107,10 @@
 	defer cancel()
 	s, err := r.src.Load(lctx)
 	if err != nil {
-		r.d.Away(started, err)
+		r.d.SourceFailed(started, err)
 		return err
 	}
-	r.d.Back()
+	r.d.SourceAnswered()
 	r.d.Replace(s)
 	r.reload, r.nextWait = false, 0
 	return nil
@@ -142,10 +142,10 @@
 		r.nextWait = 0
 		return nil
 	case err != nil:
-		r.d.Away(lastAnswer(started, err), err)
+		r.d.SourceFailed(lastAnswer(started, err), err)
 		return err
 	}
-	r.d.Back()
+	r.d.SourceAnswered()
 	r.d.Apply(changes, next)
 	if len(changes) > 0 {
 		Pause(ctx, minBatchDelay+rand.N(maxBatchDelay-minBatchDelay))
@@ -167,7 +167,7 @@
 // would call again for most of one, and a second change without a notification
 // would go unnoticed for that long.
 func (r *Reader) firstWatchWait() time.Duration {
-	if !r.d.cfg.Spread {
+	if !r.d.cfg.SpreadWatches {
 		return r.nextWatchWait()
 	}
 	return max(rand.N(r.watchInterval(firstWatchSpacing)), minFirstWatch)
@@ -181,7 +181,7 @@
 }
 
 // resumeRevision returns the revision to watch from and clears the signal of
-// Learn, which concerns earlier watches.
+// ApplyDelta, which concerns earlier watches.
 func (d *Directory) resumeRevision() Revision {
 	select {
 	case <-d.learned:
@@ -190,9 +190,9 @@
 	return d.Revision()
 }
 
-// interruptWatch cancels a watch if Learn advances the revision and the watch
-// does not end within watchLag. The returned function stops this and reports
-// whether the watch was cancelled.
+// interruptWatch cancels a watch if ApplyDelta advances the revision and the
+// watch does not end within watchLag. The returned function stops this and
+// reports whether the watch was cancelled.
 func (d *Directory) interruptWatch(ctx context.Context, cancel context.CancelFunc) (stop func() bool) {
 	done := make(chan struct{})
 	interrupted := make(chan bool, 1)
@@ -228,8 +228,8 @@
 	return time.Now()
 }
 
-// SettleUntil calls Settle periodically until ctx ends.
-func (d *Directory) SettleUntil(ctx context.Context) {
+// RunExpiry calls ExpireUnlisted periodically until ctx ends.
+func (d *Directory) RunExpiry(ctx context.Context) {
 	t := time.NewTicker(expiryInterval)
 	defer t.Stop()
 	for {
@@ -237,7 +237,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			d.Settle()
+			d.ExpireUnlisted()
 		}
 	}
 }
--- a/directory/reader_test.go
+++ b/directory/reader_test.go
@@ -64,7 +64,7 @@
 			}
 			var all []*Directory
 			for range nodes {
-				d := New(Usual(discardLog))
+				d := New(DefaultConfig(discardLog))
 				all = append(all, d)
 				go d.Follow(ctx, src)
 			}
@@ -145,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		src := &changingSource{}
-		d := New(Usual(discardLog))
+		d := New(DefaultConfig(discardLog))
 		go d.Follow(ctx, src)
 		time.Sleep(time.Second)
 		for range 10 {
--- a/directory/routes.go
+++ b/directory/routes.go
@@ -173,8 +173,9 @@
 	return nil, ErrNoRoute
 }
 
-// Service returns the service for a request. draw is a random number in [0,1).
-func (rt *Route) Service(draw float64) string {
+// PickService returns the service for a request. draw is a random number in
+// [0,1).
+func (rt *Route) PickService(draw float64) string {
 	if len(rt.Shares) == 1 {
 		return rt.Shares[0].Service
 	}
--- a/directory/sourcestatus.go
+++ b/directory/sourcestatus.go
@@ -47,9 +47,10 @@
 	return !s.reading && !s.lastCurrent.IsZero() && s.age(now) > maxPeerAge
 }
 
-// Away records that a call of this node to the source failed, and that the
-// source has not answered since the given time. It is safe for concurrent use.
-func (d *Directory) Away(since time.Time, err error) {
+// SourceFailed records that a call of this node to the source failed, and that
+// the source has not answered since the given time. It is safe for concurrent
+// use.
+func (d *Directory) SourceFailed(since time.Time, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := &d.source
@@ -63,12 +64,13 @@
 	}
 }
 
-// Back records that the source answered this node. After an outage, missing
-// entries are kept as doubtful for Config.ReturnGrace: the reports of live
-// instances may have been lost, and dropping them all would refuse every
-// request. An instance that really left is missing too, so doubtful instances
-// are used only if a service has no others. It is safe for concurrent use.
-func (d *Directory) Back() {
+// SourceAnswered records that the source answered this node. After an outage,
+// missing entries are kept as unconfirmed for Config.OutageGrace: the reports
+// of live instances may have been lost, and dropping them all would refuse
+// every request. An instance that really left is missing too, so unconfirmed
+// instances are used only if a service has no others. It is safe for concurrent
+// use.
+func (d *Directory) SourceAnswered() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := &d.source
@@ -77,7 +79,7 @@
 	}
 	now := time.Now()
 	if !s.lastCurrent.IsZero() && now.Sub(s.lastCurrent) >= minOutage {
-		d.graceEnds = now.Add(d.cfg.ReturnGrace)
+		d.graceEnds = now.Add(d.cfg.OutageGrace)
 	}
 	if !s.unreachableSince.IsZero() {
 		d.log.WithField("away_ms", now.Sub(s.unreachableSince).Milliseconds()).Info("source_regained")
@@ -113,7 +115,7 @@
 		return
 	}
 	if !s.lastCurrent.IsZero() && current.Sub(s.lastCurrent) >= minOutage+maxPollGap {
-		d.graceEnds = now.Add(d.cfg.ReturnGrace)
+		d.graceEnds = now.Add(d.cfg.OutageGrace)
 	}
 	s.lastCurrent = current
 }
@@ -126,25 +128,25 @@
 	return d.source.age(time.Now())
 }
 
-// Reading reports whether this node reads the source and the source answers. It
-// is safe for concurrent use.
-func (d *Directory) Reading() bool {
+// ReadsSource reports whether this node reads the source and the source
+// answers. It is safe for concurrent use.
+func (d *Directory) ReadsSource() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source.reading
 }
 
-// SourceLost returns when the source was last known not to answer; zero for
-// never. It is safe for concurrent use.
-func (d *Directory) SourceLost() time.Time {
+// LastSourceFailure returns when the source was last known not to answer; zero
+// for never. It is safe for concurrent use.
+func (d *Directory) LastSourceFailure() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source.lastUnreachable
 }
 
-// SourceAway reports whether neither this node nor its peers reach the source.
-// It is safe for concurrent use.
-func (d *Directory) SourceAway() bool {
+// SourceUnreachable reports whether neither this node nor its peers reach the
+// source. It is safe for concurrent use.
+func (d *Directory) SourceUnreachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source.unreachable(time.Now())
--- a/directory/unlisted.go
+++ b/directory/unlisted.go
@@ -13,9 +13,10 @@
 	confirmed bool // its node confirmed that it is alive
 }
 
-// Vouched records that the node of an unlisted instance confirmed it until a
-// time. Until then it is used like a listed one. It is safe for concurrent use.
-func (d *Directory) Vouched(at Start, until time.Time) {
+// ConfirmUnlisted records that the node of an unlisted instance confirmed it
+// until a time. Until then it is used like a listed one. It is safe for
+// concurrent use.
+func (d *Directory) ConfirmUnlisted(at Start, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u, ok := d.unlistedAt(at)
@@ -29,9 +30,9 @@
 	}
 }
 
-// Disown drops an unlisted instance that its node did not confirm. It is safe
-// for concurrent use.
-func (d *Directory) Disown(at Start) {
+// DropUnlisted drops an unlisted instance that its node did not confirm. It is
+// safe for concurrent use.
+func (d *Directory) DropUnlisted(at Start) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, ok := d.unlistedAt(at); ok {
@@ -45,9 +46,9 @@
 	return u, ok && d.instances[at.ID].Started == at.At
 }
 
-// Settle drops the unlisted instances whose grace period or confirmation has
-// expired. It is safe for concurrent use.
-func (d *Directory) Settle() {
+// ExpireUnlisted drops the unlisted instances whose grace period or
+// confirmation has expired. It is safe for concurrent use.
+func (d *Directory) ExpireUnlisted() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now, dropped := time.Now(), false
--- a/membership/counts.go
+++ b/membership/counts.go
@@ -6,8 +6,8 @@
 	// Counts holds the number of source calls and peer polls that a node made
 	// since its start.
 	Counts struct {
-		Reads, ReadsFailed int64 // calls to the source
-		Asks, AsksFailed   int64 // polls of other nodes
+		SourceCalls, SourceErrors int64 // calls to the source
+		PeerPolls, PeerErrors     int64 // polls of other nodes
 	}
 
 	counters struct {
@@ -30,12 +30,12 @@
 // concurrent use.
 func (m *Member) Counts() Counts {
 	c := &m.counters
-	return Counts{Reads: c.sourceCalls.Load(), ReadsFailed: c.sourceErrors.Load(), Asks: c.peerPolls.Load(), AsksFailed: c.peerErrors.Load()}
+	return Counts{SourceCalls: c.sourceCalls.Load(), SourceErrors: c.sourceErrors.Load(), PeerPolls: c.peerPolls.Load(), PeerErrors: c.peerErrors.Load()}
 }
 
-// Reads reports whether this node is a reader of the source. It is safe for
+// IsReader reports whether this node is a reader of the source. It is safe for
 // concurrent use.
-func (m *Member) Reads() bool {
+func (m *Member) IsReader() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isReader
--- a/membership/fake_test.go
+++ b/membership/fake_test.go
@@ -102,9 +102,9 @@
 	defer s.mu.Unlock()
 	in.Revision = s.rev + 1
 	if old, ok := s.items[in.ID]; ok {
-		in.Since = old.Since
+		in.FirstRevision = old.FirstRevision
 	} else {
-		in.Since = in.Revision
+		in.FirstRevision = in.Revision
 	}
 	s.items[in.ID] = in
 	s.record(directory.Change{Instance: &in})
@@ -117,7 +117,7 @@
 		return
 	}
 	delete(s.items, id)
-	s.record(directory.Change{Gone: id, GoneAt: s.rev + 1})
+	s.record(directory.Change{Removed: id, RemovedAt: s.rev + 1})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -242,13 +242,13 @@
 		return directory.Delta{}, errUnreachable
 	}
 	directory.Pause(ctx, peerLatency)
-	o.Wanted()
+	o.PeerPolled()
 	x := o.dir.Await(ctx, after, wait)
 	if f.partitioned(n, o) {
 		directory.Pause(ctx, peerTimeout)
 		return directory.Delta{}, errUnreachable
 	}
-	if !o.dir.Listed() || !o.alive {
+	if !o.dir.HasSnapshot() || !o.alive {
 		return directory.Delta{}, errUnreachable
 	}
 	b, err := directory.Encode(x)
@@ -285,9 +285,9 @@
 
 func (n *node) start() {
 	ctx, stop := context.WithCancel(context.Background())
-	n.dir, n.stop, n.alive = directory.New(directory.Usual(discardLog)), stop, true
+	n.dir, n.stop, n.alive = directory.New(directory.DefaultConfig(discardLog)), stop, true
 	n.Member = New(Config{Directory: n.dir, Source: n.link, Peers: n, Self: n.addr, DC: n.in.DC, Seeds: n.fleet.seeds, Log: discardLog,
-		Beside: func(in directory.Instance) (Addr, error) { return Addr(in.Addr[:len(in.Addr)-1-2] + ":7"), nil }})
+		NodeAddr: func(in directory.Instance) (Addr, error) { return Addr(in.Addr[:len(in.Addr)-1-2] + ":7"), nil }})
 	go n.Run(ctx)
 }
 
@@ -308,7 +308,7 @@
 	rev := f.store.revision()
 	for _, n := range f.order {
 		if n.alive && !n.link.isolated.Load() && n.dir.Revision() < rev {
-			out = append(out, fmt.Sprintf("%s: reader %t, store unreachable %t, rejected %t, age %v", n.addr, n.Reads(), n.link.storeUnreachable.Load(), n.link.storeRejects.Load(), n.dir.Age()))
+			out = append(out, fmt.Sprintf("%s: reader %t, store unreachable %t, rejected %t, age %v", n.addr, n.IsReader(), n.link.storeUnreachable.Load(), n.link.storeRejects.Load(), n.dir.Age()))
 		}
 	}
 	return out
@@ -318,7 +318,7 @@
 func (f *fleet) readersOf(dc callgraph.DC) []*node {
 	var out []*node
 	for _, n := range f.order {
-		if n.in.DC == dc && n.alive && n.Reads() {
+		if n.in.DC == dc && n.alive && n.IsReader() {
 			out = append(out, n)
 		}
 	}
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -175,17 +175,17 @@
 }
 
 // The store rejects all readers of one data centre. Its nodes must not consider
-// the source away while other data centres reach it, or they would answer 503
-// for paths without a route and keep removed entries.
+// the source unreachable while other data centres reach it, or they would
+// answer 503 for paths without a route and keep removed entries.
 func TestRejectedReadersLearnFromOtherDataCentres(t *testing.T) {
 	runInFleet(t, 200, 5, func(t *testing.T, f *fleet) {
 		for _, n := range f.order {
 			n.link.storeRejects.Store(n.in.DC == "dc-1")
 		}
 		time.Sleep(5 * time.Second)
-		Convey("The source is not away, and a change arrives in time", t, func() {
+		Convey("The source is not reported as unreachable, and a change arrives in time", t, func() {
 			for _, n := range f.order {
-				So(n.dir.SourceAway(), ShouldBeFalse)
+				So(n.dir.SourceUnreachable(), ShouldBeFalse)
 			}
 			_, all := f.propagate(3 * time.Second)
 			t.Logf("all after %v", all)
@@ -195,17 +195,17 @@
 }
 
 // A data centre is partitioned from the others and from the store. Its nodes
-// must report the source as away, or they would answer 404 for a route added
-// meanwhile, and must catch up within seconds of the repair.
-func TestIsolatedDataCentreReportsSourceAway(t *testing.T) {
+// must report the source as unreachable, or they would answer 404 for a route
+// added meanwhile, and must catch up within seconds of the repair.
+func TestIsolatedDataCentreReportsSourceUnreachable(t *testing.T) {
 	runInFleet(t, 200, 5, func(t *testing.T, f *fleet) {
 		f.isolateDC("dc-1")
 		time.Sleep(10 * time.Second)
 		f.store.put(f.order[0].in)
 		time.Sleep(time.Second)
-		Convey("The source is away for its nodes and for no others", t, func() {
+		Convey("The source is unreachable for its nodes and for no others", t, func() {
 			for _, n := range f.order {
-				So(n.dir.SourceAway(), ShouldEqual, n.in.DC == "dc-1")
+				So(n.dir.SourceUnreachable(), ShouldEqual, n.in.DC == "dc-1")
 			}
 			So(f.lagging(), ShouldHaveLength, 40)
 			Convey("They catch up after the partition ends", func() {
--- a/membership/member.go
+++ b/membership/member.go
@@ -19,7 +19,8 @@
 	pollWait = time.Second
 	// pollWaitSourceDown is the long-poll timeout used by a reader while its
 	// source does not answer. It has to be short: the age of what its followers
-	// know includes this wait, and they consider the source away after 2.5 s.
+	// know includes this wait, and they consider the source unreachable after
+	// 2.5 s.
 	pollWaitSourceDown = 300 * time.Millisecond
 	// bootstrapTimeout is how long a starting node tries to learn from its
 	// seeds before it reads the source itself. It keeps a start of all nodes
@@ -52,10 +53,10 @@
 		Peers Peers
 		Self  Addr
 		DC    callgraph.DC
-		// Beside returns the address of the node that serves an instance.
-		Beside func(directory.Instance) (Addr, error)
-		Seeds  []Addr // polled while no readers are known
-		Log    log.Interface
+		// NodeAddr returns the address of the node that serves an instance.
+		NodeAddr func(directory.Instance) (Addr, error)
+		Seeds    []Addr // polled while no readers are known
+		Log      log.Interface
 	}
 
 	// Member keeps the Directory of one node up to date.
@@ -99,7 +100,7 @@
 
 // Run keeps the Directory up to date until ctx ends.
 func (m *Member) Run(ctx context.Context) {
-	go m.dir.SettleUntil(ctx)
+	go m.dir.RunExpiry(ctx)
 	m.bootstrap(ctx)
 	if m.reader == nil {
 		return
@@ -112,7 +113,7 @@
 		switch {
 		case !isReader:
 			m.pollOneOf(ctx, readers, m.round, pollWait)
-		case m.dir.Reading():
+		case m.dir.ReadsSource():
 			m.pollOneOf(ctx, m.readerPeers(), m.round/2, pollWait)
 		default:
 			m.pollOneOf(ctx, m.readerPeers(), m.round/2, pollWaitSourceDown)
@@ -120,11 +121,11 @@
 	}
 }
 
-// Wanted records that another node polled this one. A node that knows nothing
-// yet then stops waiting for its seeds; otherwise nodes that start together
-// would wait for each other. It is safe for concurrent use.
-func (m *Member) Wanted() {
-	if m.dir.Listed() {
+// PeerPolled records that another node polled this one. A node that knows
+// nothing yet then stops waiting for its seeds; otherwise nodes that start
+// together would wait for each other. It is safe for concurrent use.
+func (m *Member) PeerPolled() {
+	if m.dir.HasSnapshot() {
 		return
 	}
 	select {
@@ -139,7 +140,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.view != v {
-		m.view, m.ranking = v, newRanking(v, m.cfg.Beside)
+		m.view, m.ranking = v, newRanking(v, m.cfg.NodeAddr)
 	}
 	return m.ranking
 }
@@ -253,7 +254,7 @@
 		return
 	}
 	m.backoffs.recordSuccess(at)
-	m.dir.Learn(delta)
+	m.dir.ApplyDelta(delta)
 }
 
 // bootstrap polls the seeds until one has answered with a list, another node
@@ -276,7 +277,7 @@
 		case <-ctx.Done():
 		}
 	}()
-	for i := rand.IntN(len(m.cfg.Seeds)); ctx.Err() == nil && !m.dir.Listed(); i++ {
+	for i := rand.IntN(len(m.cfg.Seeds)); ctx.Err() == nil && !m.dir.HasSnapshot(); i++ {
 		at := m.cfg.Seeds[i%len(m.cfg.Seeds)]
 		delta, err := m.cfg.Peers.Since(ctx, at, 0, bootstrapTimeout)
 		m.counters.countPeerPoll(err)
@@ -284,7 +285,7 @@
 			directory.Pause(ctx, bootstrapRetryDelay)
 			continue
 		}
-		m.dir.Learn(delta)
+		m.dir.ApplyDelta(delta)
 	}
 }
 
--- a/membership/model_test.go
+++ b/membership/model_test.go
@@ -47,7 +47,7 @@
 // newer revision. The reply may arrive late and twice.
 func (m *model) sendDelta(t *rapid.T) {
 	to, from := m.node(t), m.node(t)
-	if !from.alive || !from.dir.Listed() {
+	if !from.alive || !from.dir.HasSnapshot() {
 		return
 	}
 	x := from.dir.Since(to.dir.Revision())
@@ -65,7 +65,7 @@
 			if time.Now().Before(l.at) {
 				kept = append(kept, l)
 			} else if l.node.alive {
-				l.node.dir.Learn(l.delta)
+				l.node.dir.ApplyDelta(l.delta)
 			}
 		}
 		m.delayed = kept
@@ -77,7 +77,7 @@
 // the store listed at that revision.
 func (m *model) check() {
 	for _, n := range m.order {
-		if !n.alive || !n.dir.Listed() {
+		if !n.alive || !n.dir.HasSnapshot() {
 			continue
 		}
 		if rev := n.dir.Revision(); rev < m.known[n] {
--- a/node/owner_routing.go
+++ b/node/owner_routing.go
@@ -79,5 +79,5 @@
 // drainedBefore reports whether instance was listed as leaving at least
 // owner.PropagationDelay before at, so that its node has drained by then.
 func (n *Node) drainedBefore(instance string, at time.Time) bool {
-	return n.table.ListedBefore(instance, at.Add(-owner.PropagationDelay))
+	return n.table.LeavingBefore(instance, at.Add(-owner.PropagationDelay))
 }
--- a/node/vm_list.go
+++ b/node/vm_list.go
@@ -78,10 +78,10 @@
 
 func (n *Node) applyVMs(list configservice.VMList) {
 	if list.Full {
-		n.table.ClearListed()
+		n.table.ClearLeaving()
 	}
 	for _, vm := range list.VMs {
-		n.table.SetListed(vm.Instance, vm.Leaving)
+		n.table.SetLeaving(vm.Instance, vm.Leaving)
 		if vm.Instance == n.cfg.Settings.Instance && vm.Leaving && !n.leaving.Swap(true) {
 			n.log.Info("node_leaving_by_vm_list")
 		}
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -91,7 +91,7 @@
 }
 
 func (p *process) gone(instance string, at time.Time) bool {
-	return p.table.ListedBefore(instance, at.Add(-owner.PropagationDelay))
+	return p.table.LeavingBefore(instance, at.Add(-owner.PropagationDelay))
 }
 
 func (p *process) apply(g *callgraph.Graph) {
@@ -108,7 +108,7 @@
 func (f *fleet) readList(name string, p *process) {
 	for _, in := range pool {
 		_, leaving := f.leavingSince[in.Name]
-		p.table.SetListed(in.Name, leaving)
+		p.table.SetLeaving(in.Name, leaving)
 		if leaving && in.Name == name {
 			p.leaving.Store(true)
 		}
--- a/route/table.go
+++ b/route/table.go
@@ -54,9 +54,9 @@
 	return t.graph.Version
 }
 
-// SetListed records whether the VM list shows an instance as leaving. A leaving
-// instance gets no new calls.
-func (t *Table) SetListed(name string, leaving bool) {
+// SetLeaving records whether the VM list shows an instance as leaving. A
+// leaving instance gets no new calls.
+func (t *Table) SetLeaving(name string, leaving bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, recorded := t.leavingSince[name]
@@ -68,17 +68,17 @@
 	}
 }
 
-// ClearListed discards all records of SetListed, before a complete VM list is
+// ClearLeaving discards all records of SetLeaving, before a complete VM list is
 // recorded.
-func (t *Table) ClearListed() {
+func (t *Table) ClearLeaving() {
 	t.mu.Lock()
 	clear(t.leavingSince)
 	t.mu.Unlock()
 }
 
-// ListedBefore reports whether the VM list showed an instance as leaving before
-// at.
-func (t *Table) ListedBefore(name string, at time.Time) bool {
+// LeavingBefore reports whether the VM list showed an instance as leaving
+// before at.
+func (t *Table) LeavingBefore(name string, at time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	since, leaving := t.leavingSince[name]
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -24,10 +24,10 @@
 			So(picked(), ShouldBeTrue)
 		})
 		Convey("It is skipped for as long as the VM list shows it as leaving", t, func() {
-			tb.SetListed("archiv-1", true)
+			tb.SetLeaving("archiv-1", true)
 			time.Sleep(time.Hour)
 			So(picked(), ShouldBeFalse)
-			tb.ClearListed()
+			tb.ClearLeaving()
 			So(picked(), ShouldBeTrue)
 		})
 	})
--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -31,7 +31,7 @@
 		// Child requests carry no key. This node may have restarted while the
 		// parent request was running, so the child may be retried.
 		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "call for a request that is not known to run here"}
-	case n.dir.SourceAway():
+	case n.dir.SourceUnreachable():
 		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "no account holds the key in a version that may be old"}
 	}
 	return nil, &refusal{code: http.StatusUnauthorized, cause: causeKey, reason: "no account holds the key"}
--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -106,8 +106,8 @@
 		}
 	})
 	Convey("While the source is unavailable, 503 with Retry-After", t, func() {
-		n.dir.Back()
-		n.dir.Away(time.Now(), errors.New("gone"))
+		n.dir.SourceAnswered()
+		n.dir.SourceFailed(time.Now(), errors.New("gone"))
 		id, got := m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -133,7 +133,7 @@
 		return nil, refused
 	}
 	q := &request{route: rt, received: received, deadline: received.Add(timeout), account: origin.account, rank: origin.rank}
-	q.Request = call.Request{ID: id, Service: rt.Service(n.draw()), Operation: rt.Name, Body: body, HTTP: n.targetRequest(r, routes, rt, origin)}
+	q.Request = call.Request{ID: id, Service: rt.PickService(n.draw()), Operation: rt.Name, Body: body, HTTP: n.targetRequest(r, routes, rt, origin)}
 	q.quarantine = n.quarantineStateOf(&q.Request)
 	if !origin.child {
 		q.queueDeadline = received.Add(n.queueWait(n.requestTimes(rt, timeout)))
@@ -199,7 +199,7 @@
 // noRouteRefusal returns 404, or 503 while the directory source is
 // unavailable, because a newer version may contain the route.
 func (n *Node) noRouteRefusal() *refusal {
-	if n.dir.SourceAway() {
+	if n.dir.SourceUnreachable() {
 		return &refusal{code: http.StatusServiceUnavailable, cause: causeNoRoutes, retryAfter: retryAfterNoRoutes, reason: "no route in a version that may be old"}
 	}
 	return &refusal{code: http.StatusNotFound, cause: causeNoRoute, reason: directory.ErrNoRoute.Error()}
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -75,7 +75,7 @@
 			n.decisions.Note("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
 			return
 		}
-		if n.dir.Learn(delta) {
+		if n.dir.ApplyDelta(delta) {
 			n.decisions.Note("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
 		}
 	}()
@@ -124,12 +124,12 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.untilDrain, cancel)()
-	n.member.Wanted()
+	n.member.PeerPolled()
 	if req.Told != nil {
 		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Told), cancel)
 	}
 	delta := n.dir.Await(ctx, req.After, min(req.Wait, maxPollWait))
-	if _, draining := n.drainingSince(); draining || !n.dir.Listed() {
+	if _, draining := n.drainingSince(); draining || !n.dir.HasSnapshot() {
 		return call.Refuse(r, errNoDirectory.Error(), 0)
 	}
 	b, err := directory.Encode(delta)
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -88,7 +88,7 @@
 // otherwise be concentrated near the fastest instance.
 func (n *Node) pickCriteria(q *request, tried []directory.InstanceID) balance.PickRequest {
 	v := n.dir.View()
-	pick := balance.PickRequest{Route: q.route.Name, Instances: v.Instances(q.Service), SameDC: v.Near(q.Service, n.cfg.DC), Tried: tried}
+	pick := balance.PickRequest{Route: q.route.Name, Instances: v.Instances(q.Service), SameDC: v.InstancesInDC(q.Service, n.cfg.DC), Tried: tried}
 	if n.thresholds.Threshold(q.route.Name) == admit.MaxLevel {
 		pick.NonIdempotent, pick.TimeLimit = !q.route.Idempotent, time.Until(q.deadline)
 	}
--- a/sidecar/forward_test.go
+++ b/sidecar/forward_test.go
@@ -188,7 +188,7 @@
 		v := m.start("127.0.0.4", "rankings")
 		m.vms = append(m.vms, v)
 		for range 50 {
-			if v.dir.Listed() {
+			if v.dir.HasSnapshot() {
 				break
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/sidecar/mesh_test.go
+++ b/sidecar/mesh_test.go
@@ -211,7 +211,7 @@
 // run starts the node of v.
 func (m *mesh) run(v *vm) {
 	lg := &log.Logger{Handler: discard.New()}
-	v.dir = directory.New(directory.Usual(lg))
+	v.dir = directory.New(directory.DefaultConfig(lg))
 	n, err := New(Config{Seeds: m.seeds, Control: freeAddr(m.t, v.ip), Name: "node-" + v.ip, DC: "nord", Service: v.self.Service, Target: v.self.Addr, Callers: freeAddr(m.t, v.ip),
 		Peer: net.JoinHostPort(v.ip, strconv.Itoa(m.port)), Ready: freeAddr(m.t, v.ip), Metrics: freeAddr(m.t, v.ip), Headers: testHeaders,
 		Tuning: Tuning{BodyBytes: 1 << 20, Repeats: budget.RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 100}}, Policies: Usual(), Grace: 3 * time.Second, Directory: v.dir, Source: m.source, Log: lg})
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -178,7 +178,7 @@
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
 	n.quarantine = quarantine.NewTracker(quarantine.Config{Disabled: !cfg.Policies.Quarantine, Log: cfg.Log})
-	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.SourceLost})
+	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.LastSourceFailure})
 	loadAdmission := cfg.Policies.admission(n.thresholds)
 	n.successRates = admit.NewSuccessRateLimiter(loadAdmission)
 	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.successRates, loadAdmission)
@@ -238,7 +238,7 @@
 // would then not recognize itself as a reader.
 func (n *Node) membershipConfig(self wire.Peer) membership.Config {
 	cfg := membership.Config{Directory: n.dir, Source: n.cfg.Source, Self: membership.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
-	cfg.Beside = func(in directory.Instance) (membership.Addr, error) {
+	cfg.NodeAddr = func(in directory.Instance) (membership.Addr, error) {
 		p, err := n.peerFor(in)
 		return membership.Addr(p.Addr), err
 	}
@@ -258,7 +258,7 @@
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if n.dir.View().Routes == nil || !n.dir.Listed() || n.drainStart.Load() != 0 {
+	if n.dir.View().Routes == nil || !n.dir.HasSnapshot() || n.drainStart.Load() != 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -56,10 +56,10 @@
 // Directory returns the configuration of the directory for a Node with these
 // policies.
 func (p Policies) Directory(l log.Interface) directory.Config {
-	cfg := directory.Usual(l)
-	cfg.AskGrace = choose(p.Vouch, cfg.AskGrace, 0)
-	cfg.ReturnGrace = choose(p.Doubt, cfg.ReturnGrace, 0)
-	cfg.Spread = p.Spread
+	cfg := directory.DefaultConfig(l)
+	cfg.UnlistedGrace = choose(p.Vouch, cfg.UnlistedGrace, 0)
+	cfg.OutageGrace = choose(p.Doubt, cfg.OutageGrace, 0)
+	cfg.SpreadWatches = p.Spread
 	return cfg
 }
 
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		candidates = append(candidates, in)
-		if !in.Doubtful {
+		if !in.Unconfirmed {
 			confirmed = append(confirmed, in)
 		}
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -105,10 +105,10 @@
 	v.serve(l)
 	old := v.self.ID
 	f.revision++
-	v.self.ID, v.self.Revision, v.self.Since = directory.InstanceID(v.target.id), f.revision, f.revision
+	v.self.ID, v.self.Revision, v.self.FirstRevision = directory.InstanceID(v.target.id), f.revision, f.revision
 	in := v.self
 	for _, o := range f.vms {
-		o.dir.Apply([]directory.Change{{Gone: old, GoneAt: f.revision}, {Instance: &in}}, f.revision)
+		o.dir.Apply([]directory.Change{{Removed: old, RemovedAt: f.revision}, {Instance: &in}}, f.revision)
 	}
 }
 
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -166,19 +166,19 @@
 	gauge("oatpin_admitted_level", func() float64 { return float64(n.meter.Threshold()) })
 	gauge("oatpin_routes_version", func() float64 { return float64(n.routesVersion()) })
 	gauge("oatpin_directory_revision", func() float64 { return float64(n.revision()) })
-	gauge("oatpin_instances_unlisted", func() float64 { return float64(n.dir.View().Unlisted()) })
-	gauge("oatpin_entries_refused", func() float64 { return float64(n.dir.Refused()) })
+	gauge("oatpin_instances_unlisted", func() float64 { return float64(n.dir.View().UnlistedCount()) })
+	gauge("oatpin_entries_refused", func() float64 { return float64(n.dir.InvalidEntries()) })
 	for _, st := range []quarantine.Stage{quarantine.Isolated, quarantine.Quarantined} {
 		s.set.NewGauge(fmt.Sprintf(`oatpin_requests_kept_apart{node=%q,stage=%q}`, s.node, st), func() float64 { return float64(n.quarantine.Count(st)) })
 	}
-	gauge("oatpin_source_away", func() float64 { return boolGauge(n.dir.SourceAway()) })
-	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.member.Reads()) })
+	gauge("oatpin_source_away", func() float64 { return boolGauge(n.dir.SourceUnreachable()) })
+	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.member.IsReader()) })
 	gauge("oatpin_directory_age_seconds", func() float64 { return n.dir.Age().Seconds() })
 	for name, f := range map[string]func(membership.Counts) int64{
-		"oatpin_source_reads_total":        func(c membership.Counts) int64 { return c.Reads },
-		"oatpin_source_reads_failed_total": func(c membership.Counts) int64 { return c.ReadsFailed },
-		"oatpin_reader_asked_total":        func(c membership.Counts) int64 { return c.Asks },
-		"oatpin_reader_asked_failed_total": func(c membership.Counts) int64 { return c.AsksFailed },
+		"oatpin_source_reads_total":        func(c membership.Counts) int64 { return c.SourceCalls },
+		"oatpin_source_reads_failed_total": func(c membership.Counts) int64 { return c.SourceErrors },
+		"oatpin_reader_asked_total":        func(c membership.Counts) int64 { return c.PeerPolls },
+		"oatpin_reader_asked_failed_total": func(c membership.Counts) int64 { return c.PeerErrors },
 	} {
 		gauge(name, func() float64 { return float64(f(n.member.Counts())) })
 	}
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -78,9 +78,9 @@
 		case err != nil:
 			n.decisions.Note("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
 		case vouched:
-			n.dir.Vouched(in.Start(), time.Now().Add(vouch.TTL))
+			n.dir.ConfirmUnlisted(in.Start(), time.Now().Add(vouch.TTL))
 		default:
-			n.dir.Disown(in.Start())
+			n.dir.DropUnlisted(in.Start())
 		}
 		select {
 		case <-n.stop:
--- a/sidecar/vouch_test.go
+++ b/sidecar/vouch_test.go
@@ -40,7 +40,7 @@
 // removeEntry removes v's instance from the directories of all nodes.
 func (m *mesh) removeEntry(v *vm, at directory.Revision) {
 	for _, o := range m.vms {
-		o.dir.Apply([]directory.Change{{Gone: v.self.ID, GoneAt: at}}, at)
+		o.dir.Apply([]directory.Change{{Removed: v.self.ID, RemovedAt: at}}, at)
 	}
 }
 
@@ -62,7 +62,7 @@
 	settle := func() {
 		for range 8 {
 			time.Sleep(100 * time.Millisecond)
-			m.vms[0].dir.Settle()
+			m.vms[0].dir.ExpireUnlisted()
 		}
 	}
 	Convey("Given an expired entry of a live instance", t, func() {
@@ -73,10 +73,10 @@
 		settle()
 		Convey("Its node vouches for it, and it stays in use", func() {
 			So(in().Unlisted, ShouldBeTrue)
-			So(in().Doubtful, ShouldBeFalse)
+			So(in().Unconfirmed, ShouldBeFalse)
 			So(read(), ShouldEqual, http.StatusOK)
 			settle()
-			So(in().Doubtful, ShouldBeFalse)
+			So(in().Unconfirmed, ShouldBeFalse)
 			Convey("Until it drains, although the source does not answer", func() {
 				m.vms[1].setHealth(http.StatusServiceUnavailable)
 				settle()
--- a/vouch/model_test.go
+++ b/vouch/model_test.go
@@ -54,7 +54,7 @@
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.Usual(&log.Logger{Handler: discard.New()}))}
+	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.DefaultConfig(&log.Logger{Handler: discard.New()}))}
 	m.instance = directory.Instance{ID: "i", Started: 1, Service: "s", Addr: "a:1", Slots: 4}
 	m.checker = NewChecker(Config{Listed: m.listed, Probe: m.probe, LastSourceFailure: func() time.Time { return time.Time{} }})
 	m.running, m.upSince, m.cutsChanged = true, time.Now(), time.Now()
@@ -95,7 +95,7 @@
 		m.unlist()
 	}
 	m.ask(now)
-	m.peer.Settle()
+	m.peer.ExpireUnlisted()
 }
 
 func (m *model) list() {
@@ -113,7 +113,7 @@
 func (m *model) unlist() {
 	m.listedAtSource, m.unlistedAt = false, time.Now()
 	m.rev++
-	m.peer.Apply([]directory.Change{{Gone: m.instance.ID, GoneAt: m.rev}}, m.rev)
+	m.peer.Apply([]directory.Change{{Removed: m.instance.ID, RemovedAt: m.rev}}, m.rev)
 }
 
 // ask performs the peer's requests for vouches, at once when an entry is
@@ -132,10 +132,10 @@
 
 func (m *model) askWitness(in directory.Instance) {
 	if m.checker.Vouch(context.Background(), in.Start()) {
-		m.peer.Vouched(in.Start(), time.Now().Add(TTL))
+		m.peer.ConfirmUnlisted(in.Start(), time.Now().Add(TTL))
 		return
 	}
-	m.peer.Disown(in.Start())
+	m.peer.DropUnlisted(in.Start())
 }
 
 // check compares the peer's view with the actual state.
@@ -159,7 +159,7 @@
 	// dropped until it is listed again.
 	m.missedUnlisting = !m.listedAtSource && (m.missedUnlisting || m.peerCut)
 	steady := m.running && !m.missedUnlisting && !m.leaving && m.checkerSeen && now.Sub(m.upSince) > 2*time.Second
-	if steady && settled && !m.peerCut && m.sourceCut && (!used || in.Doubtful) {
+	if steady && settled && !m.peerCut && m.sourceCut && (!used || in.Unconfirmed) {
 		m.t.Fatalf("live instance whose VM is cut off from the source is not used: %+v", in)
 	}
 	if steady && settled && !m.sourceCut && (!used || in.Unlisted) {
