--- a/account/usage.go
+++ b/account/usage.go
@@ -57,23 +57,23 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (u *Usage) DecodeMsgpack(d *msgpack.Decoder) error {
 	*u = Usage{}
-	return message.Decode(d, (*string)(&u.Account), &u.Requested, &u.Admitted)
+	return message.DecodeArray(d, (*string)(&u.Account), &u.Requested, &u.Admitted)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Report) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Report{}
-	return message.Decode(d, (*string)(&r.From), &r.Aggregated, (*message.List[Usage])(&r.Usage), &r.Standby, &r.Moved)
+	return message.DecodeArray(d, (*string)(&r.From), &r.Aggregated, (*message.List[Usage])(&r.Usage), &r.Standby, &r.Moved)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *Standing) DecodeMsgpack(d *msgpack.Decoder) error {
 	*s = Standing{}
-	return message.Decode(d, (*string)(&s.Account), &s.Tokens, &s.Share, &s.Unrestricted)
+	return message.DecodeArray(d, (*string)(&s.Account), &s.Tokens, &s.Share, &s.Unrestricted)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *Standings) DecodeMsgpack(d *msgpack.Decoder) error {
 	*s = Standings{}
-	return message.Decode(d, (*message.List[Standing])(&s.Entries))
+	return message.DecodeArray(d, (*message.List[Standing])(&s.Entries))
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -199,7 +199,7 @@
 	}
 	if o.Load != nil {
 		s.load, s.outstandingAtLoad = *o.Load, s.outstanding
-		s.reportedFailing, s.reportedSlowdown, s.reportedAt = o.Load.Failing, o.Load.Slow-1, now
+		s.reportedFailing, s.reportedSlowdown, s.reportedAt = o.Load.FailureRate, o.Load.Slowdown-1, now
 	}
 	s.health.Record(o.Failed || o.Refused)
 	if o.Latency > 0 {
@@ -273,7 +273,7 @@
 	if limit == 0 {
 		limit = max(in.Slots, 1)
 	}
-	n := max(s.load.Busy+s.load.Queued+s.outstanding-s.outstandingAtLoad, s.outstanding)
+	n := max(s.load.InFlight+s.load.Queued+s.outstanding-s.outstandingAtLoad, s.outstanding)
 	return float64(n) / float64(limit)
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -31,7 +31,7 @@
 	return count
 }
 
-func loadOf(busy int) *call.Load { return &call.Load{Busy: busy, Limit: 60} }
+func loadOf(busy int) *call.Load { return &call.Load{InFlight: busy, Limit: 60} }
 
 func TestLocalDataCentreIsPreferredUntilBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -82,7 +82,7 @@
 			reported := func(id directory.InstanceID) Outcome {
 				l := loadOf(10)
 				if id == "near" {
-					l.Failing = 0.4
+					l.FailureRate = 0.4
 				}
 				return Outcome{Load: l}
 			}
--- a/call/decode.go
+++ b/call/decode.go
@@ -15,50 +15,50 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Request) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Request{}
-	if message.Named(d) {
+	if message.IsMap(d) {
 		return d.Decode((*namedRequest)(r))
 	}
-	return message.Decode(d, (*string)(&r.ID), &r.Service, &r.Operation, (*string)(&r.Key), &r.Remaining, &r.To, &r.Sent,
-		&r.Budget, (*message.List[string])(&r.Passed), &r.Body, &r.HTTP)
+	return message.DecodeArray(d, (*string)(&r.ID), &r.Service, &r.Operation, (*string)(&r.Key), &r.Remaining, &r.To, &r.Sent,
+		&r.RetryBudget, (*message.List[string])(&r.DeclinedBy), &r.Body, &r.HTTP)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (a *Answer) DecodeMsgpack(d *msgpack.Decoder) error {
 	*a = Answer{}
-	if message.Named(d) {
+	if message.IsMap(d) {
 		return d.Decode((*namedAnswer)(a))
 	}
-	return message.Decode(d, (*string)(&a.ID), (*string)(&a.Status), &a.Reason, &a.RetryAfter, &a.RetriesUsed, &a.Leaving,
-		&a.Declined, &a.Body, &a.HTTP, &a.Reached, &a.Load, &a.Ended, &a.Held, &a.News)
+	return message.DecodeArray(d, (*string)(&a.ID), (*string)(&a.Status), &a.Reason, &a.RetryAfter, &a.RetriesUsed, &a.Leaving,
+		&a.Declined, &a.Body, &a.HTTP, &a.ReachedTarget, &a.Load, &a.InstanceEnd, &a.NoRetry, &a.Piggyback)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (e *End) DecodeMsgpack(d *msgpack.Decoder) error {
-	*e = End{}
-	return message.Decode(d, &e.ID, &e.Alone)
+func (e *InstanceEnd) DecodeMsgpack(d *msgpack.Decoder) error {
+	*e = InstanceEnd{}
+	return message.DecodeArray(d, &e.ID, &e.Isolated)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (f *Field) DecodeMsgpack(d *msgpack.Decoder) error {
 	*f = Field{}
-	return message.Decode(d, &f.Name, &f.Value)
+	return message.DecodeArray(d, &f.Name, &f.Value)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *HTTPRequest) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = HTTPRequest{}
-	return message.Decode(d, &r.Method, &r.Host, &r.URI, (*message.List[Field])(&r.Header), &r.Caller, (*uint16)(&r.Level), &r.Begun, &r.Repeat,
-		&r.Idempotent, &r.Patience)
+	return message.DecodeArray(d, &r.Method, &r.Host, &r.URI, (*message.List[Field])(&r.Header), &r.Caller, (*uint16)(&r.Level), &r.Child, &r.Retry,
+		&r.Idempotent, &r.MaxQueueWait)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (a *HTTPAnswer) DecodeMsgpack(d *msgpack.Decoder) error {
 	*a = HTTPAnswer{}
-	return message.Decode(d, &a.Code, (*message.List[Field])(&a.Header))
+	return message.DecodeArray(d, &a.Code, (*message.List[Field])(&a.Header))
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (l *Load) DecodeMsgpack(d *msgpack.Decoder) error {
 	*l = Load{}
-	return message.Decode(d, &l.Busy, &l.Queued, &l.Limit, (*uint16)(&l.Admit), &l.Failing, &l.Scarce, &l.Slow, &l.Binds)
+	return message.DecodeArray(d, &l.InFlight, &l.Queued, &l.Limit, (*uint16)(&l.Threshold), &l.FailureRate, &l.OverloadSlotTime, &l.Slowdown, &l.Bottleneck)
 }
--- a/call/header.go
+++ b/call/header.go
@@ -9,13 +9,13 @@
 // HTTP headers that carry a Request's metadata between a target and its node.
 // Targets copy them from the call they serve to the calls they make.
 const (
-	HeaderRequestID = "Oatpin-Request-Id"
-	HeaderKey       = "Idempotency-Key"
-	HeaderTimeout   = "Oatpin-Timeout-Ms"
-	HeaderBudget    = "Oatpin-Retry-Budget"
-	HeaderStatus    = "Oatpin-Status"
-	HeaderRetries   = "Oatpin-Retries-Used"
-	HeaderReason    = "Oatpin-Reason"
+	HeaderRequestID      = "Oatpin-Request-Id"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderTimeout        = "Oatpin-Timeout-Ms"
+	HeaderRetryBudget    = "Oatpin-Retry-Budget"
+	HeaderStatus         = "Oatpin-Status"
+	HeaderRetriesUsed    = "Oatpin-Retries-Used"
+	HeaderReason         = "Oatpin-Reason"
 	// HeaderLeaving marks a refusal by a target that is draining and accepts no
 	// more calls.
 	HeaderLeaving = "Oatpin-Leaving"
@@ -28,10 +28,10 @@
 func WriteHeaders(h http.Header, r Request) {
 	h.Set(HeaderRequestID, string(r.ID))
 	if r.Key != "" {
-		h.Set(HeaderKey, string(r.Key))
+		h.Set(HeaderIdempotencyKey, string(r.Key))
 	}
 	h.Set(HeaderTimeout, strconv.FormatInt(r.Remaining.Milliseconds(), 10))
-	h.Set(HeaderBudget, strconv.Itoa(r.Budget))
+	h.Set(HeaderRetryBudget, strconv.Itoa(r.RetryBudget))
 }
 
 // ReadHeaders sets r's metadata from h. A field whose header is missing or
@@ -40,14 +40,14 @@
 	if v := h.Get(HeaderRequestID); v != "" {
 		r.ID = RequestID(v)
 	}
-	if v := h.Get(HeaderKey); v != "" {
+	if v := h.Get(HeaderIdempotencyKey); v != "" {
 		r.Key = Key(v)
 	}
 	if ms, err := strconv.ParseInt(h.Get(HeaderTimeout), 10, 64); err == nil {
 		r.Remaining = time.Duration(ms) * time.Millisecond
 	}
-	if n, err := strconv.Atoi(h.Get(HeaderBudget)); err == nil {
-		r.Budget = n
+	if n, err := strconv.Atoi(h.Get(HeaderRetryBudget)); err == nil {
+		r.RetryBudget = n
 	}
 }
 
--- a/call/http.go
+++ b/call/http.go
@@ -16,9 +16,9 @@
 		NotExecuted      string // set by the target on an answer to a request that it did not run
 		CallerService    string // service of the VM at which the request entered the mesh
 		Instance         string // instance ID, on the answer to a health check
-		Key              string // API key of a client account, after KeyScheme and a space
-		KeyScheme        string // authentication scheme that precedes the API key
-		Account          string // name of the client account, sent to the target instead of Key
+		APIKey           string // API key of a client account, after AuthScheme and a space
+		AuthScheme       string // authentication scheme that precedes the API key
+		Account          string // name of the client account, sent to the target instead of APIKey
 	}
 
 	// Field is a header field.
@@ -42,12 +42,13 @@
 		Header     []Field
 		Caller     string // service of the VM at which the request entered the mesh
 		Level      Level
-		Begun      bool // child of a request that is already running
-		Repeat     bool // retried at another instance, or child of such a request
+		Child      bool // child of a request that is already running
+		Retry      bool // retried at another instance, or child of such a request
 		Idempotent bool
-		// Patience limits the time that a new request waits in the queue of the
-		// target's node before it is refused; 0 means no limit but the deadline.
-		Patience time.Duration
+		// MaxQueueWait limits the time that a new request waits in the queue of
+		// the target's node before it is refused; 0 means no limit but the
+		// deadline.
+		MaxQueueWait time.Duration
 	}
 
 	// HTTPAnswer is a target's HTTP response without the body.
@@ -59,16 +60,16 @@
 
 	// Load is a node's report of the load of its target.
 	Load struct {
-		_msgpack struct{} `msgpack:",as_array"`
-		Busy     int      // requests in progress at the target
-		Queued   int      // requests queued at the node
-		Limit    int      // concurrency limit of the target
-		Admit    Level    // admission threshold: highest level that the target and its dependencies can serve
-		Failing  float64  // fraction of the target's recent requests that failed, 0 to 1
-		// Scarce is the slot time that the request and its child requests used
-		// at overloaded targets.
-		Scarce time.Duration
-		Slow   float64 // current service time relative to the recent average; 1 means unchanged
-		Binds  string  // service whose threshold Admit is; empty if all levels are admitted
+		_msgpack    struct{} `msgpack:",as_array"`
+		InFlight    int      // requests in progress at the target
+		Queued      int      // requests queued at the node
+		Limit       int      // concurrency limit of the target
+		Threshold   Level    // admission threshold: highest level that the target and its dependencies can serve
+		FailureRate float64  // fraction of the target's recent requests that failed, 0 to 1
+		// OverloadSlotTime is the slot time that the request and its child
+		// requests used at overloaded targets.
+		OverloadSlotTime time.Duration
+		Slowdown         float64 // current service time relative to the recent average; 1 means unchanged
+		Bottleneck       string  // service that Threshold belongs to; empty if all levels are admitted
 	}
 )
--- a/call/key.go
+++ b/call/key.go
@@ -30,9 +30,9 @@
 	return home
 }
 
-// Made returns when the key was created, in milliseconds of its creator's clock.
-// It returns ErrBadKey for a malformed key.
-func (k Key) Made() (time.Time, error) {
+// Created returns when the key was created, in milliseconds of its creator's
+// clock. It returns ErrBadKey for a malformed key.
+func (k Key) Created() (time.Time, error) {
 	_, id, ok := k.split()
 	if !ok {
 		return time.Time{}, ErrBadKey
--- a/cmd/oatpin/process_test.go
+++ b/cmd/oatpin/process_test.go
@@ -259,7 +259,7 @@
 	freigabe, archiv, _ := cl.startPair()
 	store := func(key call.Key, timeout string) string {
 		resp, _, err := do(http.MethodPost, "http://127.0.0.1:"+freigabe.http+"/v1/call/archiv/store_once",
-			call.HeaderKey, string(key), call.HeaderTimeout, timeout)
+			call.HeaderIdempotencyKey, string(key), call.HeaderTimeout, timeout)
 		So(err, ShouldBeNil)
 		return resp.Header.Get(call.HeaderStatus)
 	}
--- a/directory/codec.go
+++ b/directory/codec.go
@@ -104,6 +104,6 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (e *wireInstance) DecodeMsgpack(d *msgpack.Decoder) error {
 	*e = wireInstance{}
-	return message.Decode(d, (*string)(&e.ID), (*int64)(&e.Started), &e.Service, (*string)(&e.DC), &e.Addr, &e.Slots,
+	return message.DecodeArray(d, (*string)(&e.ID), (*int64)(&e.Started), &e.Service, (*string)(&e.DC), &e.Addr, &e.Slots,
 		&e.Leaving, &e.ColdUntil, (*uint64)(&e.FirstRevision), (*uint64)(&e.Revision))
 }
--- a/directory/codec_test.go
+++ b/directory/codec_test.go
@@ -30,20 +30,20 @@
 func TestPreviousVersionDeltaIsCompatible(t *testing.T) {
 	Convey("Its delta is decoded completely, and is encoded to the same bytes", t, func() {
 		want := goldenDelta(t)
-		got, err := Decode(messagetest.Former(t, "delta"))
+		got, err := Decode(messagetest.Golden(t, "delta"))
 		So(err, ShouldBeNil)
 		got.Instances[0].ColdUntil = got.Instances[0].ColdUntil.UTC()
 		So(got, ShouldResemble, want)
 		ours, err := Encode(want)
 		So(err, ShouldBeNil)
-		So(ours, ShouldResemble, messagetest.Former(t, "delta"))
+		So(ours, ShouldResemble, messagetest.Golden(t, "delta"))
 	})
 }
 
 // FuzzDelta checks that any input is rejected or can be encoded and decoded
 // again.
 func FuzzDelta(f *testing.F) {
-	f.Add(messagetest.Former(f, "delta"))
+	f.Add(messagetest.Golden(f, "delta"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x, err := Decode(b)
 		if err != nil {
--- a/filter/owner.go
+++ b/filter/owner.go
@@ -17,7 +17,7 @@
 			if c.Op.Idempotent {
 				return next.Serve(ctx, c)
 			}
-			switch ownership.Claim(c.Request.Service, c.Request.Key, c.Request.Passed) {
+			switch ownership.Claim(c.Request.Service, c.Request.Key, c.Request.DeclinedBy) {
 			case owner.Run:
 				return next.Serve(ctx, c)
 			case owner.Decline:
--- a/load/load.go
+++ b/load/load.go
@@ -140,7 +140,7 @@
 		return call.NotRun
 	}
 	req.Header.Set(call.HeaderRequestID, id)
-	req.Header.Set(call.HeaderKey, string(key))
+	req.Header.Set(call.HeaderIdempotencyKey, string(key))
 	resp, err := client.Do(req)
 	if err != nil {
 		return call.Unknown
--- a/message/decode_test.go
+++ b/message/decode_test.go
@@ -16,7 +16,7 @@
 
 func (r *record) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = record{}
-	return Decode(d, &r.id, &r.text, &r.list)
+	return DecodeArray(d, &r.id, &r.text, &r.list)
 }
 
 // Messages of other versions have fewer or additional trailing fields. Decoding
@@ -60,9 +60,9 @@
 	Convey("A message encoded as a map is recognised", t, func() {
 		b, err := msgpack.Marshal(map[string]int{"id": 7})
 		So(err, ShouldBeNil)
-		So(Named(msgpack.NewDecoder(bytes.NewReader(b))), ShouldBeTrue)
-		So(Named(msgpack.NewDecoder(bytes.NewReader([]byte{0x90}))), ShouldBeFalse)
-		So(Named(msgpack.NewDecoder(bytes.NewReader(nil))), ShouldBeFalse)
+		So(IsMap(msgpack.NewDecoder(bytes.NewReader(b))), ShouldBeTrue)
+		So(IsMap(msgpack.NewDecoder(bytes.NewReader([]byte{0x90}))), ShouldBeFalse)
+		So(IsMap(msgpack.NewDecoder(bytes.NewReader(nil))), ShouldBeFalse)
 	})
 }
 
--- a/message/messagetest/golden.go
+++ b/message/messagetest/golden.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// Former returns the message that the previous version encoded to
+// Golden returns the message that the previous version encoded to
 // testdata/former/NAME.hex of the package under test. It fails t if the file
 // cannot be read.
-func Former(t testing.TB, name string) []byte {
+func Golden(t testing.TB, name string) []byte {
 	text, err := os.ReadFile(filepath.Join("testdata", "former", name+".hex"))
 	if err != nil {
 		t.Fatal(err)
--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -136,7 +136,7 @@
 		g := fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect))
 		base := startNode(t, g, "back-1", "http://127.0.0.1:1")
 		req, _ := http.NewRequest(http.MethodPost, base+"/v1/call/back/op", nil)
-		req.Header.Set(call.HeaderKey, "release-4711")
+		req.Header.Set(call.HeaderIdempotencyKey, "release-4711")
 		resp, err := http.DefaultClient.Do(req)
 		So(err, ShouldBeNil)
 		resp.Body.Close()
--- a/node/disconnect_test.go
+++ b/node/disconnect_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return
 	}
-	req.Header.Set(call.HeaderKey, string(key))
+	req.Header.Set(call.HeaderIdempotencyKey, string(key))
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		resp.Body.Close()
 	}
--- a/node/fake_test.go
+++ b/node/fake_test.go
@@ -176,7 +176,7 @@
 		req.Header.Set(call.HeaderRequestID, string(r.ID))
 	}
 	if r.Key != "" {
-		req.Header.Set(call.HeaderKey, string(r.Key))
+		req.Header.Set(call.HeaderIdempotencyKey, string(r.Key))
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/node/http.go
+++ b/node/http.go
@@ -48,7 +48,7 @@
 		http.Error(w, "body: "+err.Error(), bodyErrorCode(err))
 		return
 	}
-	r := call.Request{Service: req.PathValue("service"), Operation: req.PathValue("operation"), Body: body, Budget: -1}
+	r := call.Request{Service: req.PathValue("service"), Operation: req.PathValue("operation"), Body: body, RetryBudget: -1}
 	call.ReadHeaders(req.Header, &r)
 	g := n.graph.Load()
 	if g == nil {
@@ -70,11 +70,11 @@
 			return
 		}
 	}
-	if _, err := r.Key.Made(); err != nil && (r.Key != "" || !op.Idempotent) {
+	if _, err := r.Key.Created(); err != nil && (r.Key != "" || !op.Idempotent) {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	w.Header().Set(call.HeaderKey, string(r.Key))
+	w.Header().Set(call.HeaderIdempotencyKey, string(r.Key))
 	var a call.Answer
 	if hop == "" && op.Idempotent && r.Service == n.localService() {
 		a = n.serveLocal(req.Context(), r)
@@ -105,8 +105,8 @@
 	if r.Remaining <= 0 || r.Remaining > op.Deadline {
 		r.Remaining = op.Deadline
 	}
-	if r.Budget < 0 || r.Budget > g.Retries {
-		r.Budget = g.Retries
+	if r.RetryBudget < 0 || r.RetryBudget > g.Retries {
+		r.RetryBudget = g.Retries
 	}
 	if r.Key == "" {
 		r.Key = call.NewKey(string(n.cfg.Settings.DC))
@@ -130,7 +130,7 @@
 	h := w.Header()
 	h.Set(call.HeaderRequestID, string(a.ID))
 	h.Set(call.HeaderStatus, string(a.Status))
-	h.Set(call.HeaderRetries, strconv.Itoa(a.RetriesUsed))
+	h.Set(call.HeaderRetriesUsed, strconv.Itoa(a.RetriesUsed))
 	if a.Reason != "" {
 		h.Set(call.HeaderReason, a.Reason)
 	}
--- a/node/inbound.go
+++ b/node/inbound.go
@@ -42,10 +42,10 @@
 		return call.Refuse(r, ErrMisrouted.Error(), filter.MinRetryAfter)
 	}
 	hop := budget.Hop(string(r.ID) + "/" + strconv.FormatUint(n.hopSeq.Add(1), 36))
-	n.budgets.Open(hop, r.Budget)
+	n.budgets.Open(hop, r.RetryBudget)
 	ctx = context.WithValue(detach(ctx, op), hopContextKey{}, hop)
 	a := n.localChain.Serve(ctx, &filter.Call{Request: &r, Op: op})
-	a.RetriesUsed = r.Budget - n.budgets.Close(hop)
+	a.RetriesUsed = r.RetryBudget - n.budgets.Close(hop)
 	n.stats.countAnswer("local", op.Class, a.Status)
 	return a
 }
@@ -99,9 +99,9 @@
 // breaks, which could run a non-idempotent call twice; it checks the
 // canonical name only, while servers ignore case.
 func lowercaseKeyHeader(h http.Header) {
-	if v, ok := h[call.HeaderKey]; ok {
-		delete(h, call.HeaderKey)
-		h[strings.ToLower(call.HeaderKey)] = v
+	if v, ok := h[call.HeaderIdempotencyKey]; ok {
+		delete(h, call.HeaderIdempotencyKey)
+		h[strings.ToLower(call.HeaderIdempotencyKey)] = v
 	}
 }
 
--- a/node/lost_answer_test.go
+++ b/node/lost_answer_test.go
@@ -26,7 +26,7 @@
 		So(len(sent), ShouldBeGreaterThanOrEqualTo, 2) // at least one retry was sent
 		spent := len(sent) - 1
 		for _, r := range sent {
-			spent += r.Budget
+			spent += r.RetryBudget
 		}
 		So(spent, ShouldBeLessThanOrEqualTo, g.Retries)
 	})
--- a/node/node.go
+++ b/node/node.go
@@ -188,7 +188,7 @@
 	n.stopOnce.Do(func() { close(n.stop) })
 	err := n.http.Shutdown(ctx)
 	n.wire.CloseConns()
-	n.peers.CloseAll()
+	n.peers.Close()
 	n.log.Info("node_stopped")
 	return err
 }
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -15,7 +15,7 @@
 // budget. The budget is leased from the hop for a call of the local target
 // (hop set) and taken from the request for a client call.
 func (n *Node) forward(ctx context.Context, r call.Request, op *callgraph.Operation, hop budget.Hop) call.Answer {
-	lease := r.Budget
+	lease := r.RetryBudget
 	if hop != "" {
 		lease = n.budgets.Lease(hop)
 	}
--- a/node/outbound_call.go
+++ b/node/outbound_call.go
@@ -25,8 +25,8 @@
 	r.To = instance
 	r.Sent = time.Now()
 	r.Remaining = time.Until(s.deadline)
-	r.Budget = s.attemptBudget()
-	r.Passed = s.declinedBy
+	r.RetryBudget = s.attemptBudget()
+	r.DeclinedBy = s.declinedBy
 	return r
 }
 
--- a/node/owner_routing.go
+++ b/node/owner_routing.go
@@ -57,7 +57,7 @@
 // configuration, that has neither declined the key nor drained.
 func (n *Node) nextOwner(s *outboundCall) (callgraph.Instance, bool) {
 	g := n.graph.Load()
-	keyTime, err := s.r.Key.Made()
+	keyTime, err := s.r.Key.Created()
 	if g == nil || g.Services[s.r.Service] == nil || err != nil {
 		return callgraph.Instance{}, false
 	}
--- a/owner/arbiter.go
+++ b/owner/arbiter.go
@@ -121,7 +121,7 @@
 // retry follows the time in the key, so an instance whose process and rank are
 // older than the key has seen all of them.
 func (a *Arbiter) Claim(service string, key call.Key, declined []string) Verdict {
-	made, err := key.Made()
+	made, err := key.Created()
 	if err != nil {
 		return Uncertain
 	}
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -122,7 +122,7 @@
 // fails at an unreachable instance. With pause, the instance delays the call
 // until Wake.
 func (f *fleet) send(router *process, key call.Key, unreachable map[string]bool, pause bool) bool {
-	made, _ := key.Made()
+	made, _ := key.Created()
 	var declined []string
 	for {
 		in, ok := owner.Next(router.graph.Services["versand"].Instances, key, declined, func(name string) bool {
@@ -131,7 +131,7 @@
 		if !ok || unreachable[in.Name] {
 			return false
 		}
-		p, req := f.nodes[in.Name], &call.Request{Service: "versand", Key: key, Passed: slices.Clone(declined), Remaining: time.Minute}
+		p, req := f.nodes[in.Name], &call.Request{Service: "versand", Key: key, DeclinedBy: slices.Clone(declined), Remaining: time.Minute}
 		serve := func() call.Answer {
 			return p.handler.Serve(context.Background(), &filter.Call{Request: req, Op: &callgraph.Operation{}})
 		}
--- a/quarantine/compat_test.go
+++ b/quarantine/compat_test.go
@@ -20,18 +20,18 @@
 func TestReportCompatibleWithPreviousVersion(t *testing.T) {
 	Convey("The previous version's report decodes completely, and ours encodes to the same bytes", t, func() {
 		var got Report
-		So(msgpack.Unmarshal(messagetest.Former(t, "report"), &got), ShouldBeNil)
+		So(msgpack.Unmarshal(messagetest.Golden(t, "report"), &got), ShouldBeNil)
 		So(got, ShouldResemble, wantReport)
 		ours, err := msgpack.Marshal(wantReport)
 		So(err, ShouldBeNil)
-		So(ours, ShouldResemble, messagetest.Former(t, "report"))
+		So(ours, ShouldResemble, messagetest.Golden(t, "report"))
 	})
 }
 
 // FuzzReport checks that a Tracker merges any report within its bounds or
 // rejects it.
 func FuzzReport(f *testing.F) {
-	f.Add(messagetest.Former(f, "report"))
+	f.Add(messagetest.Golden(f, "report"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got Report
 		if msgpack.Unmarshal(b, &got) != nil {
--- a/quarantine/decode.go
+++ b/quarantine/decode.go
@@ -8,23 +8,23 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (c *Cursor) DecodeMsgpack(d *msgpack.Decoder) error {
 	*c = Cursor{}
-	return message.Decode(d, &c.Epoch, &c.Seq)
+	return message.DecodeArray(d, &c.Epoch, &c.Seq)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Report) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Report{}
-	return message.Decode(d, &r.Next, (*message.List[Record])(&r.Records))
+	return message.DecodeArray(d, &r.Next, (*message.List[Record])(&r.Records))
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Record) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Record{}
-	return message.Decode(d, (*uint64)(&r.Fingerprint), (*message.List[End])(&r.Ends), (*message.List[Caller])(&r.AnsweredFor), &r.Age)
+	return message.DecodeArray(d, (*uint64)(&r.Fingerprint), (*message.List[End])(&r.Ends), (*message.List[Caller])(&r.AnsweredFor), &r.Age)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (e *End) DecodeMsgpack(d *msgpack.Decoder) error {
 	*e = End{}
-	return message.Decode(d, (*uint64)(&e.ID), (*string)(&e.Caller), &e.Isolated, &e.Answered)
+	return message.DecodeArray(d, (*uint64)(&e.ID), (*string)(&e.Caller), &e.Isolated, &e.Answered)
 }
--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -27,7 +27,7 @@
 	switch {
 	case rt.Public:
 		return nil, nil
-	case isChild && r.Header[n.cfg.Headers.Key] == nil:
+	case isChild && r.Header[n.cfg.Headers.APIKey] == nil:
 		// Child requests carry no key. This node may have restarted while the
 		// parent request was running, so the child may be retried.
 		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeKey, retryAfter: retryAfterNoRoutes, reason: "call for a request that is not known to run here"}
@@ -40,13 +40,13 @@
 // apiKey returns the API key in a request's header; ok is false if there is
 // no key or more than one.
 func (n *Node) apiKey(h http.Header) (key string, ok bool) {
-	values := h[n.cfg.Headers.Key]
+	values := h[n.cfg.Headers.APIKey]
 	if len(values) != 1 {
 		return "", false
 	}
 	scheme, key, found := strings.Cut(values[0], " ")
 	key = strings.TrimSpace(key)
-	return key, found && key != "" && strings.EqualFold(scheme, n.cfg.Headers.KeyScheme)
+	return key, found && key != "" && strings.EqualFold(scheme, n.cfg.Headers.AuthScheme)
 }
 
 // withAccountHeader appends the name of the authenticated account to the
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -69,23 +69,23 @@
 		n.limiter.Refund(q.account)
 	}
 	n.stats.observeRequest(q.route, q.Service, a.Status, elapsed)
-	var saturated time.Duration
+	var overloadSlotTime time.Duration
 	if a.Load != nil {
-		saturated = a.Load.Scarce
+		overloadSlotTime = a.Load.OverloadSlotTime
 	}
 	ok := a.Status == call.OK
 	if ok {
 		n.totalTimes.Record(q.route.Name, elapsed)
 	}
-	if q.HTTP.Begun {
-		n.running.childEnded(q.ID, !ok, saturated)
+	if q.HTTP.Child {
+		n.running.childEnded(q.ID, !ok, overloadSlotTime)
 		return
 	}
 	if a.Status != call.NotRun && !canceled {
 		n.successRates.RecordOutcome(q.route.Name, q.rank, ok)
 	}
-	if ok && saturated > 0 {
-		n.costs.Record(q.route.Name, q.route.Priority, saturated)
+	if ok && overloadSlotTime > 0 {
+		n.costs.Record(q.route.Name, q.route.Priority, overloadSlotTime)
 	}
 }
 
@@ -150,7 +150,7 @@
 func (n *Node) targetRequest(r *http.Request, routes *directory.Routes, rt *directory.Route, origin requestOrigin) *call.HTTPRequest {
 	fields := n.withAccountHeader(n.forwardedFields(r.Header, routes.Accounts != nil), origin.account)
 	return &call.HTTPRequest{Method: r.Method, Host: r.Host, URI: r.RequestURI, Header: fields,
-		Caller: n.cfg.Service, Level: origin.level, Begun: origin.child, Repeat: origin.retry, Idempotent: rt.Idempotent}
+		Caller: n.cfg.Service, Level: origin.level, Child: origin.child, Retry: origin.retry, Idempotent: rt.Idempotent}
 }
 
 // requestOrigin describes where a request comes from.
@@ -248,7 +248,7 @@
 	id := r.Header.Get(n.cfg.Headers.RequestID)
 	n.stats.countRefusal(ref.cause, ref.account)
 	if ref.code == http.StatusUnauthorized {
-		w.Header().Set("WWW-Authenticate", n.cfg.Headers.KeyScheme)
+		w.Header().Set("WWW-Authenticate", n.cfg.Headers.AuthScheme)
 	}
 	n.decisions.Note("request_refused", func() log.Fields {
 		return log.Fields{"id": id, "code": ref.code, "cause": ref.cause, "account": accountName(ref.account), "why": ref.reason, "come_back_ms": ref.retryAfter.Milliseconds(), "routes": n.routesVersion(), "path": r.URL.Path}
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -48,7 +48,7 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (req *deltaRequest) DecodeMsgpack(d *msgpack.Decoder) error {
 	*req = deltaRequest{}
-	return message.Decode(d, (*uint64)(&req.After), &req.Wait, &req.Told)
+	return message.DecodeArray(d, (*uint64)(&req.After), &req.Wait, &req.Told)
 }
 
 // onPeerRevision handles the directory revision in a peer's response. If the
@@ -101,7 +101,7 @@
 	if a.Status != call.OK {
 		return none, eris.Wrap(errNoDirectory, a.Reason)
 	}
-	n.applyUpdate(addr, a.News)
+	n.applyUpdate(addr, a.Piggyback)
 	delta, err := directory.Decode(a.Body)
 	if err != nil {
 		n.stats.countDecodeError()
@@ -111,7 +111,7 @@
 
 // dial returns a connection to a peer for a node operation.
 func (n *Node) dial(ctx context.Context, p wire.Peer) (*wire.Conn, error) {
-	return n.peers.GetWithin(ctx, p, dialWait)
+	return n.peers.GetTimeout(ctx, p, dialWait)
 }
 
 // serveSince handles sinceOperation. A pending long poll returns immediately
@@ -137,7 +137,7 @@
 		n.log.WithError(err).Error("delta_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
 	}
-	return call.Answer{ID: r.ID, Status: call.OK, Body: b, News: n.encodeUpdate(req.Told)}
+	return call.Answer{ID: r.ID, Status: call.OK, Body: b, Piggyback: n.encodeUpdate(req.Told)}
 }
 
 // malformedAnswer returns the response to an operation whose body cannot be
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -11,11 +11,11 @@
 )
 
 // Admission by cost happens at the entry node, which sees neither the
-// saturated target nor the child requests. The slot time must be returned
+// overloaded target nor the child requests. The slot time must be returned
 // with the responses.
 func TestChildSlotTimeIsReportedToEntryNode(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv", "versand")
-	Convey("The cost of a read is the slot time of its child requests at the saturated target", t, func() {
+	Convey("The cost of a read is the slot time of its child requests at the overloaded target", t, func() {
 		full := m.vms[2].node
 		for full.meter.Threshold() == admit.MaxLevel {
 			full.meter.RecordArrival(2*admit.LevelsPerRank, time.Minute, 0)
--- a/sidecar/exit.go
+++ b/sidecar/exit.go
@@ -48,21 +48,21 @@
 
 // targetExitDuring returns the exit of the target that broke the connection
 // of a request, or nil if only the connection failed.
-func (n *Node) targetExitDuring(ctx context.Context, r *call.Request, began time.Time) *call.End {
+func (n *Node) targetExitDuring(ctx context.Context, r *call.Request, began time.Time) *call.InstanceEnd {
 	if ctx.Err() != nil {
 		return nil
 	}
 	id, first := n.exits.exitDuring(began, time.Now(), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), exitProbeTimeout)
 		defer cancel()
-		return n.target.Ended(ctx)
+		return n.target.TargetEnded(ctx)
 	})
 	if id == 0 {
 		return nil
 	}
 	if first {
 		n.stats.countTargetExit()
-		n.log.WithFields(log.Fields{"instance": r.To, "running": n.gate.Load().Busy}).Warn("target_ended")
+		n.log.WithFields(log.Fields{"instance": r.To, "running": n.gate.Load().InFlight}).Warn("target_ended")
 	}
 	n.decisions.Note("ended_under_request", func() log.Fields {
 		names := make([]string, 0, len(r.HTTP.Header))
@@ -72,5 +72,5 @@
 		return log.Fields{"id": r.ID, "fingerprint": quarantine.FingerprintOf(r).String(), "caller": r.HTTP.Caller, "instance": r.To,
 			"headers": names, "age_ms": time.Since(began).Milliseconds()}
 	})
-	return &call.End{ID: id}
+	return &call.InstanceEnd{ID: id}
 }
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -46,9 +46,9 @@
 func (n *Node) forward(ctx context.Context, q *request) call.Answer {
 	if q.quarantine.stage == quarantine.Quarantined {
 		n.stats.countRefusal(causeQuarantine, q.account)
-		return n.refuseHeld(q.Request, q.quarantine)
+		return n.refuseSuspect(q.Request, q.quarantine)
 	}
-	if q.HTTP.Repeat {
+	if q.HTTP.Retry {
 		n.retryBudget(q.Service).CountInheritedRetry()
 	} else {
 		n.retryBudget(q.Service).CountFirstTry()
@@ -107,8 +107,8 @@
 	case !reachable:
 		att.unreachable++
 	case a.Status == call.NotRun:
-		o.Refused = a.Reached
-		if a.Reached {
+		o.Refused = a.ReachedTarget
+		if a.ReachedTarget {
 			att.reached++
 		}
 	default:
@@ -126,12 +126,12 @@
 	n.recordAttempt(q.quarantine, &a)
 	n.stats.observeAttempt(q.Service, a.Status, time.Since(sent))
 	if a.Load != nil {
-		n.thresholds.RecordThreshold(q.route.Name, a.Load.Admit, a.Load.Binds)
+		n.thresholds.RecordThreshold(q.route.Name, a.Load.Threshold, a.Load.Bottleneck)
 	}
 	if a.Status != call.OK {
 		n.decisions.Note("try_ended", func() log.Fields {
 			f := log.Fields{"id": q.ID, "fingerprint": q.quarantine.fingerprint.String(), "route": q.route.Name, "service": q.Service, "instance": in.ID, "dc": in.DC, "revision": in.Revision,
-				"status": a.Status, "why": a.Reason, "reached": a.Reached, "took_ms": time.Since(sent).Milliseconds(), "try": len(att.tried)}
+				"status": a.Status, "why": a.Reason, "reached": a.ReachedTarget, "took_ms": time.Since(sent).Milliseconds(), "try": len(att.tried)}
 			if a.HTTP != nil {
 				f["code"] = a.HTTP.Code
 			}
@@ -159,9 +159,9 @@
 	r := q.Request
 	r.To = string(in.ID)
 	if !q.queueDeadline.IsZero() {
-		q.HTTP.Patience = max(time.Until(q.queueDeadline), minQueueWait)
+		q.HTTP.MaxQueueWait = max(time.Until(q.queueDeadline), minQueueWait)
 	}
-	r.Yields = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).CanRetry()
+	r.EndOnSuspicion = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).CanRetry()
 	r.Remaining = time.Until(q.deadline) - peerMargin
 	if in.Addr == n.cfg.Target {
 		return n.serveLocal(ctx, r), true
@@ -173,7 +173,7 @@
 	// The connection may close between Get and Call, before anything is
 	// written; the second Get dials a new one.
 	for range 2 {
-		conn, err := n.peers.GetWithin(ctx, peer, dialWait)
+		conn, err := n.peers.GetTimeout(ctx, peer, dialWait)
 		if err != nil {
 			return call.Refuse(r, "node unreachable: "+err.Error(), 0), false
 		}
@@ -190,14 +190,14 @@
 // after answer a. If an instance has already received it, the retry is
 // charged to the service's retry budget.
 func (n *Node) allowRetry(ctx context.Context, q *request, a call.Answer, att *attempts) bool {
-	if ctx.Err() != nil || time.Until(q.deadline) < minRetryTime || a.Held || n.stage(q.quarantine) == quarantine.Quarantined {
+	if ctx.Err() != nil || time.Until(q.deadline) < minRetryTime || a.NoRetry || n.stage(q.quarantine) == quarantine.Quarantined {
 		return false
 	}
 	switch a.Status {
 	case call.OK:
 		return false
 	case call.NotRun:
-		if !a.Reached {
+		if !a.ReachedTarget {
 			return true
 		}
 	default:
@@ -209,6 +209,6 @@
 		return false
 	}
 	n.stats.countRetry(q.Service)
-	q.HTTP.Repeat = true
+	q.HTTP.Retry = true
 	return true
 }
--- a/sidecar/header.go
+++ b/sidecar/header.go
@@ -24,7 +24,7 @@
 	drop := headerSet{headers.Deadline: true, headers.ExpectedInstance: true, headers.CallerService: true,
 		"Content-Length": true, "Host": true, "Expect": true}
 	if accounts {
-		drop[headers.Key], drop[headers.Account] = true, true
+		drop[headers.APIKey], drop[headers.Account] = true, true
 	}
 	return drop
 }
--- a/sidecar/mesh_test.go
+++ b/sidecar/mesh_test.go
@@ -25,7 +25,7 @@
 
 var testHeaders = call.Headers{RequestID: "Request-Id", Deadline: "Deadline-Ms", Signature: "Signature",
 	ExpectedInstance: "Expected-Instance", NotExecuted: "Not-Executed", CallerService: "Caller-Service", Instance: "Instance-Id",
-	Key: "Authorization", KeyScheme: "Key", Account: "Account"}
+	APIKey: "Authorization", AuthScheme: "Key", Account: "Account"}
 
 type (
 	// mesh is a set of nodes on loopback addresses, each with a fake target.
@@ -260,7 +260,7 @@
 			close(v.node.stop)
 			v.node.callerServer.Close()
 			v.node.peerServer.CloseConns()
-			v.node.peers.CloseAll()
+			v.node.peers.Close()
 		}
 	}
 	for _, f := range m.cleanups {
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -185,7 +185,7 @@
 	n.levels = cfg.Policies.levels(n.costs)
 	n.queueWait, n.retryAfter = cfg.Policies.queueWait(), cfg.Policies.retryAfter()
 	n.tuning.Store(&cfg.Tuning)
-	n.peers = wire.NewPool(wire.PoolConfig{Log: cfg.Log, OnVersion: n.onPeerRevision, Trusting: !cfg.Policies.Suspicion})
+	n.peers = wire.NewPool(wire.PoolConfig{Log: cfg.Log, OnVersion: n.onPeerRevision, DisableSuspicion: !cfg.Policies.Suspicion})
 	n.peerServer = wire.Server{Handler: n.servePeer, Version: n.revision}
 	n.callerServer = &http.Server{Handler: http.HandlerFunc(n.serveCaller), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 	n.readyServer = &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -296,6 +296,6 @@
 		n.log.WithError(err).Warn("callers_cut")
 	}
 	n.peerServer.CloseConns()
-	n.peers.CloseAll()
+	n.peers.Close()
 	n.log.WithField("took_ms", time.Since(began).Milliseconds()).Info("node_stopped")
 }
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -115,7 +115,7 @@
 			writeSigned(w, r, http.StatusOK, "")
 		})
 		go m.get(m.vms[0], "/read/first")
-		for v.node.gate.Load().Busy == 0 {
+		for v.node.gate.Load().InFlight == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -15,9 +15,9 @@
 	// isolated or suspect requests to finish. New requests set their own
 	// limit.
 	isolationWait = time.Second
-	// retryAfterHeld is the Retry-After of a request refused because of a
+	// suspectRetryAfter is the Retry-After of a request refused because of a
 	// conflicting isolated request.
-	retryAfterHeld = 500 * time.Millisecond
+	suspectRetryAfter = 500 * time.Millisecond
 )
 
 // quarantineState identifies a request for quarantine and holds the stage
@@ -67,7 +67,7 @@
 	if qs.stage == quarantine.Quarantined {
 		return nil, false
 	}
-	wait := r.HTTP.Patience
+	wait := r.HTTP.MaxQueueWait
 	if wait <= 0 {
 		wait = isolationWait
 	}
@@ -81,12 +81,12 @@
 	return now <= qs.stage || now <= quarantine.Suspect
 }
 
-// refuseHeld refuses a suspect request without executing it. Held is set if
-// the request must not be sent to another instance.
-func (n *Node) refuseHeld(r call.Request, qs quarantineState) call.Answer {
-	a := call.Refuse(r, "instances ended under this request, and another such is running", retryAfterHeld)
+// refuseSuspect refuses a suspect request without executing it. NoRetry is set
+// if the request must not be sent to another instance.
+func (n *Node) refuseSuspect(r call.Request, qs quarantineState) call.Answer {
+	a := call.Refuse(r, "instances ended under this request, and another such is running", suspectRetryAfter)
 	now := n.stage(qs)
-	a.Held = now >= quarantine.Isolated
+	a.NoRetry = now >= quarantine.Isolated
 	if now == quarantine.Quarantined {
 		a.Reason = "quarantined: instances ended under this request"
 		a.RetryAfter = max(a.RetryAfter, n.quarantine.Remaining(qs.fingerprint, qs.caller))
@@ -97,8 +97,8 @@
 // recordRun records the result of a request at the local target and reports
 // changes to other nodes.
 func (n *Node) recordRun(qs quarantineState, a *call.Answer) {
-	if a.Ended != nil {
-		a.Ended.Alone = qs.stage == quarantine.Isolated
+	if a.InstanceEnd != nil {
+		a.InstanceEnd.Isolated = qs.stage == quarantine.Isolated
 	}
 	if n.recordAttempt(qs, a) {
 		n.queueReport(qs.fingerprint)
@@ -109,8 +109,8 @@
 // whether the quarantine records changed.
 func (n *Node) recordAttempt(qs quarantineState, a *call.Answer) bool {
 	switch {
-	case a.Ended != nil:
-		return n.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.Ended.ID), Caller: qs.caller, Isolated: a.Ended.Alone})
+	case a.InstanceEnd != nil:
+		return n.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.InstanceEnd.ID), Caller: qs.caller, Isolated: a.InstanceEnd.Isolated})
 	case a.HTTP != nil:
 		return n.quarantine.RecordAnswer(qs.fingerprint, qs.caller)
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -255,6 +255,6 @@
 		a := n.servePeer(context.Background(), call.Request{ID: "q", Operation: sinceOperation, Body: body})
 		So(a.Status, ShouldEqual, call.OK)
 		So(time.Since(began), ShouldBeGreaterThan, 190*time.Millisecond)
-		So(a.News, ShouldBeEmpty)
+		So(a.Piggyback, ShouldBeEmpty)
 	})
 }
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := decodeReport(a.News)
+	reply, err := decodeReport(a.Piggyback)
 	if err == nil {
 		n.queueReport(n.quarantine.Merge(reply)...)
 	}
@@ -124,7 +124,7 @@
 		return n.malformedAnswer(r, err)
 	}
 	n.quarantine.Merge(received)
-	return call.Answer{ID: r.ID, Status: call.OK, News: n.encodeReport(n.quarantine.Records(received.Fingerprints()))}
+	return call.Answer{ID: r.ID, Status: call.OK, Piggyback: n.encodeReport(n.quarantine.Records(received.Fingerprints()))}
 }
 
 func decodeReport(b []byte) (quarantine.Report, error) {
--- a/sidecar/running.go
+++ b/sidecar/running.go
@@ -21,12 +21,12 @@
 
 	// runningRequest is one request in progress at the local target.
 	runningRequest struct {
-		route         string
-		level         call.Level
-		retry         bool
-		childFailed   bool          // some child request has failed
-		saturatedTime time.Duration // slot time used by child requests at saturated targets
-		progress      *slots.TrackedRequest
+		route            string
+		level            call.Level
+		retry            bool
+		childFailed      bool          // some child request has failed
+		overloadSlotTime time.Duration // slot time used by child requests at overloaded targets
+		progress         *slots.TrackedRequest
 	}
 )
 
@@ -50,8 +50,8 @@
 }
 
 // childEnded records the result of a child request and the slot time that it
-// used at saturated targets.
-func (r *runningRequests) childEnded(childID call.RequestID, failed bool, saturated time.Duration) {
+// used at overloaded targets.
+func (r *runningRequests) childEnded(childID call.RequestID, failed bool, overloadSlotTime time.Duration) {
 	parent, ok := parentID(childID)
 	if !ok {
 		return
@@ -60,7 +60,7 @@
 	defer r.mu.Unlock()
 	if v, ok := r.byID[parent]; ok {
 		v.childFailed = v.childFailed || failed
-		v.saturatedTime += saturated
+		v.overloadSlotTime += overloadSlotTime
 		r.byID[parent] = v
 		v.progress.EndCall()
 	}
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -76,7 +76,7 @@
 	qs := n.quarantineStateOf(&r)
 	leave, ok := n.enterIsolation(ctx, &r, qs)
 	if !ok {
-		return n.withLoad(r, n.refuseHeld(r, qs))
+		return n.withLoad(r, n.refuseSuspect(r, qs))
 	}
 	defer leave()
 	return n.serveQueued(ctx, r, qs)
@@ -91,8 +91,8 @@
 	}
 	n.thresholds.ObserveLevel(r.HTTP.Level)
 	n.meter.RecordArrival(r.HTTP.Level, n.targetTimes.Mean(r.Operation, initialTargetTime), n.gate.QueuedWork())
-	waited, err := n.gate.Acquire(ctx, slots.Ticket{Level: r.HTTP.Level, Deadline: deadline, MaxQueueWait: r.HTTP.Patience})
-	n.stats.observeQueueWait(r.HTTP.Begun, err == nil, waited)
+	waited, err := n.gate.Acquire(ctx, slots.Ticket{Level: r.HTTP.Level, Deadline: deadline, MaxQueueWait: r.HTTP.MaxQueueWait})
+	n.stats.observeQueueWait(r.HTTP.Child, err == nil, waited)
 	if err != nil {
 		a := call.Refuse(r, "target: "+err.Error()+" after "+waited.String(), 0)
 		a.Leaving = errors.Is(err, slots.ErrLeaving)
@@ -100,7 +100,7 @@
 	}
 	if !n.stillAllowed(qs) {
 		n.gate.Release(0)
-		return n.withLoad(r, n.refuseHeld(r, qs))
+		return n.withLoad(r, n.refuseSuspect(r, qs))
 	}
 	if !r.HTTP.Idempotent {
 		// A non-idempotent request that has started continues when the caller
@@ -111,7 +111,7 @@
 		defer cancel()
 	}
 	progress := n.slowdown.Begin(r.Operation)
-	n.running.add(r.ID, runningRequest{route: r.Operation, level: r.HTTP.Level, retry: r.HTTP.Repeat, progress: progress})
+	n.running.add(r.ID, runningRequest{route: r.Operation, level: r.HTTP.Level, retry: r.HTTP.Retry, progress: progress})
 	began := time.Now()
 	a := n.callTarget(ctx, r, deadline)
 	took := time.Since(began)
@@ -119,9 +119,9 @@
 	finished := n.running.remove(r.ID)
 	progress.End(a.Status == call.OK)
 	n.health.Record(n.targetFailed(ctx, r, a, finished, took))
-	saturated := finished.saturatedTime
+	overloadSlotTime := finished.overloadSlotTime
 	if n.meter.Threshold() < admit.MaxLevel {
-		saturated += took
+		overloadSlotTime += took
 	}
 	if a.Status != call.OK {
 		took = 0
@@ -130,7 +130,7 @@
 	}
 	n.gate.Release(took)
 	a = n.withLoad(r, a)
-	a.Load.Scarce = saturated
+	a.Load.OverloadSlotTime = overloadSlotTime
 	return a
 }
 
@@ -143,7 +143,7 @@
 		return true
 	}
 	l := n.gate.Load()
-	return l.Busy <= l.Limit/probeSlotDivisor
+	return l.InFlight <= l.Limit/probeSlotDivisor
 }
 
 // targetFailed reports whether a failure is the local target's own. It is not
@@ -170,10 +170,10 @@
 // threshold on the path of the request's route.
 func (n *Node) withLoad(r call.Request, a call.Answer) call.Answer {
 	l := n.gate.Load()
-	l.Failing, l.Slow = n.health.FailureRate(), n.slowdown.Slowdown()
-	l.Admit, l.Binds = n.thresholds.CalleeThreshold(r.Operation)
-	if local := n.meter.Threshold(); local < l.Admit {
-		l.Admit, l.Binds = local, n.cfg.Service
+	l.FailureRate, l.Slowdown = n.health.FailureRate(), n.slowdown.Slowdown()
+	l.Threshold, l.Bottleneck = n.thresholds.CalleeThreshold(r.Operation)
+	if local := n.meter.Threshold(); local < l.Threshold {
+		l.Threshold, l.Bottleneck = local, n.cfg.Service
 	}
 	a.Load = &l
 	return a
@@ -197,12 +197,12 @@
 	resp, err := n.target.Do(ctx, &targetconn.Request{ID: r.ID, Method: r.HTTP.Method, Host: r.HTTP.Host, URI: r.HTTP.URI, Header: h, Body: r.Body})
 	switch {
 	case errors.Is(err, targetconn.ErrNotSent):
-		if errors.Is(err, targetconn.ErrNobody) {
+		if errors.Is(err, targetconn.ErrConnRefused) {
 			n.vouchChecker.RecordEnd()
 		}
 		return call.Refuse(r, err.Error(), 0)
 	case err != nil:
-		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), Reached: true, Ended: n.targetExitDuring(ctx, &r, began)}
+		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), ReachedTarget: true, InstanceEnd: n.targetExitDuring(ctx, &r, began)}
 	}
 	return n.classifyAnswer(r, resp)
 }
@@ -210,7 +210,7 @@
 // classifyAnswer maps a target's response to a call status.
 func (n *Node) classifyAnswer(r call.Request, resp *targetconn.Answer) call.Answer {
 	headers := n.cfg.Headers
-	a := call.Answer{ID: r.ID, Reached: true}
+	a := call.Answer{ID: r.ID, ReachedTarget: true}
 	switch {
 	case resp.Header.Get(headers.NotExecuted) != "" || resp.Code == http.StatusMisdirectedRequest:
 		a.Status = call.NotRun
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -120,10 +120,10 @@
 
 // observeQueueWait records the time that a request was queued for the local
 // target.
-func (s *stats) observeQueueWait(begun, admitted bool, d time.Duration) {
-	k := waitKey{child: begun, admitted: admitted}
+func (s *stats) observeQueueWait(child, admitted bool, d time.Duration) {
+	k := waitKey{child: child, admitted: admitted}
 	s.queueWaits.get(k, func() *metrics.Histogram {
-		return s.set.GetOrCreateHistogram(fmt.Sprintf(`oatpin_turn_wait_seconds{node=%q,begun="%t",admitted="%t"}`, s.node, begun, admitted))
+		return s.set.GetOrCreateHistogram(fmt.Sprintf(`oatpin_turn_wait_seconds{node=%q,begun="%t",admitted="%t"}`, s.node, child, admitted))
 	}).Update(d.Seconds())
 }
 
@@ -158,7 +158,7 @@
 	gauge := func(name string, f func() float64) {
 		s.set.NewGauge(fmt.Sprintf(`%s{node=%q}`, name, s.node), f)
 	}
-	gauge("oatpin_target_busy", func() float64 { return float64(n.gate.Load().Busy) })
+	gauge("oatpin_target_busy", func() float64 { return float64(n.gate.Load().InFlight) })
 	gauge("oatpin_target_queued", func() float64 { return float64(n.gate.Load().Queued) })
 	gauge("oatpin_target_limit", func() float64 { return float64(n.gate.Load().Limit) })
 	gauge("oatpin_target_failing_ratio", n.health.FailureRate)
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -169,7 +169,7 @@
 	}
 	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.Target, URI: path})
 	switch {
-	case errors.Is(err, targetconn.ErrNobody):
+	case errors.Is(err, targetconn.ErrConnRefused):
 		n.vouchChecker.RecordEnd()
 		return vouch.NotServing
 	case err != nil && ctx.Err() == nil:
--- a/sidecar/wire_test.go
+++ b/sidecar/wire_test.go
@@ -16,18 +16,18 @@
 func TestDeltaRequestWireCompatibility(t *testing.T) {
 	Convey("Decoding and encoding match the recorded bytes", t, func() {
 		var got deltaRequest
-		So(msgpack.Unmarshal(messagetest.Former(t, "question"), &got), ShouldBeNil)
+		So(msgpack.Unmarshal(messagetest.Golden(t, "question"), &got), ShouldBeNil)
 		So(got, ShouldResemble, testRequest)
 		ours, err := msgpack.Marshal(testRequest)
 		So(err, ShouldBeNil)
-		So(ours, ShouldResemble, messagetest.Former(t, "question"))
+		So(ours, ShouldResemble, messagetest.Golden(t, "question"))
 	})
 }
 
 // FuzzQuestion checks that a deltaRequest decoded from any input can be
 // encoded.
 func FuzzQuestion(f *testing.F) {
-	f.Add(messagetest.Former(f, "question"))
+	f.Add(messagetest.Golden(f, "question"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got deltaRequest
 		if msgpack.Unmarshal(b, &got) != nil {
--- a/slots/gate.go
+++ b/slots/gate.go
@@ -46,7 +46,7 @@
 
 		mu              sync.Mutex
 		limit           int
-		busy            int
+		inFlight        int
 		meanServiceTime time.Duration
 		queue           PriorityQueue[*waiter]
 		closed          bool
@@ -83,8 +83,8 @@
 		g.mu.Unlock()
 		return 0, ErrLeaving
 	}
-	if g.busy < g.limit && g.queue.Len() == 0 {
-		g.busy++
+	if g.inFlight < g.limit && g.queue.Len() == 0 {
+		g.inFlight++
 		g.mu.Unlock()
 		return 0, nil
 	}
@@ -145,7 +145,7 @@
 func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.busy--
+	g.inFlight--
 	if took > 0 {
 		g.meanServiceTime += time.Duration(float64(took-g.meanServiceTime) * smoothing)
 	}
@@ -174,7 +174,7 @@
 func (g *Gate) Load() call.Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return call.Load{Busy: g.busy, Queued: g.queue.Len(), Limit: g.limit}
+	return call.Load{InFlight: g.inFlight, Queued: g.queue.Len(), Limit: g.limit}
 }
 
 // QueuedWork returns the slot time expected for the queued requests.
@@ -187,7 +187,7 @@
 // admitWaiting admits queued requests while there are free slots. It refuses
 // those that would miss their deadline, whose result nobody would receive.
 func (g *Gate) admitWaiting() {
-	for g.busy < g.limit {
+	for g.inFlight < g.limit {
 		w, ok := g.queue.Pop()
 		if !ok {
 			return
@@ -196,7 +196,7 @@
 			w.result <- ErrTooLate
 			continue
 		}
-		g.busy++
+		g.inFlight++
 		w.result <- nil
 	}
 }
--- a/slots/gate_test.go
+++ b/slots/gate_test.go
@@ -195,8 +195,8 @@
 				"close": func(*rapid.T) { g.Close(); collect() },
 				"open":  func(*rapid.T) { g.Open(); collect() },
 				"": func(rt *rapid.T) {
-					if l := g.Load(); l.Busy != in || l.Queued != len(waiting) {
-						rt.Fatalf("gate reports %d busy and %d queued, want %d and %d", l.Busy, l.Queued, in, len(waiting))
+					if l := g.Load(); l.InFlight != in || l.Queued != len(waiting) {
+						rt.Fatalf("gate reports %d busy and %d queued, want %d and %d", l.InFlight, l.Queued, in, len(waiting))
 					}
 				},
 			})
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -51,9 +51,9 @@
 	// ErrNotSent means that no byte of the request was written, so it did not
 	// run.
 	ErrNotSent = eris.New("target could not be reached")
-	// ErrNobody means that the connection was refused because nothing listens
-	// at the target's address; it is joined with ErrNotSent.
-	ErrNobody = eris.New("nothing listens at the target's address")
+	// ErrConnRefused means that the connection was refused because nothing
+	// listens at the target's address; it is joined with ErrNotSent.
+	ErrConnRefused = eris.New("nothing listens at the target's address")
 	// ErrNoAnswer means that the request was written at least in part and no
 	// complete answer arrived, so it may have run.
 	ErrNoAnswer = eris.New("no whole answer from the target")
@@ -121,7 +121,7 @@
 func (p *Pool) Do(ctx context.Context, r *Request) (*Answer, error) {
 	c, err := p.get(ctx)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, errors.Join(ErrNotSent, ErrNobody)
+		return nil, errors.Join(ErrNotSent, ErrConnRefused)
 	}
 	if err != nil {
 		return nil, eris.Wrap(ErrNotSent, err.Error())
@@ -142,10 +142,10 @@
 	return a, nil
 }
 
-// Ended reports whether the target's process has exited, which is the case if
-// nothing listens at its address. It dials the target and returns a working
-// connection to the pool.
-func (p *Pool) Ended(ctx context.Context) bool {
+// TargetEnded reports whether the target's process has exited, which is the
+// case if nothing listens at its address. It dials the target and returns a
+// working connection to the pool.
+func (p *Pool) TargetEnded(ctx context.Context) bool {
 	for {
 		nc, err := p.cfg.Dial(ctx, p.cfg.Addr)
 		if err != nil {
--- a/targetconn/pool_test.go
+++ b/targetconn/pool_test.go
@@ -361,7 +361,7 @@
 		})
 		_, err := do(p, "a")
 		So(errors.Is(err, ErrNoAnswer), ShouldBeTrue)
-		So(p.Ended(context.Background()), ShouldBeFalse)
+		So(p.TargetEnded(context.Background()), ShouldBeFalse)
 		_, err = do(p, "b")
 		So(err, ShouldBeNil)
 		So(conns.Load(), ShouldEqual, 2)
@@ -377,14 +377,14 @@
 			l.Close()
 			c.Close()
 		}()
-		So(NewPool(Config{Addr: l.Addr().String(), Headers: headers}).Ended(context.Background()), ShouldBeTrue)
+		So(NewPool(Config{Addr: l.Addr().String(), Headers: headers}).TargetEnded(context.Background()), ShouldBeTrue)
 	})
 	Convey("A target at whose address nothing listens has ended", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		p := NewPool(Config{Addr: l.Addr().String(), Headers: headers})
 		So(l.Close(), ShouldBeNil)
-		So(p.Ended(context.Background()), ShouldBeTrue)
+		So(p.TargetEnded(context.Background()), ShouldBeTrue)
 	})
 }
 
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -17,9 +17,9 @@
 type DialConfig struct {
 	From      string         // this node's instance name, sent with each request
 	OnVersion func(v uint64) // called with the configuration version in each answer; may be nil
-	// Trusting disables suspicion: a peer that answers no pings is not
-	// suspected before its connection is closed with ErrSilent.
-	Trusting bool
+	// DisableSuspicion disables suspicion: a peer that answers no pings is not
+	// suspected before its connection is closed with ErrKeepaliveTimeout.
+	DisableSuspicion bool
 	// Dial opens the network connection; nil means TCP.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
@@ -32,8 +32,8 @@
 	out  *frameWriter
 	done chan struct{}
 
-	received  atomic.Bool // a frame was read since the last Check
-	suspected atomic.Bool // see Suspect
+	received  atomic.Bool // a frame was read since the last CheckKeepalive
+	suspected atomic.Bool // see Suspected
 
 	mu         sync.Mutex // guards the fields below
 	lastStream Stream
@@ -88,9 +88,9 @@
 	}
 	c.lastStream++
 	s := c.lastStream
-	c.pending[s] = pendingCall{id: r.ID, ch: ch, yields: r.Yields}
+	c.pending[s] = pendingCall{id: r.ID, ch: ch, endOnSuspicion: r.EndOnSuspicion}
 	c.mu.Unlock()
-	if err := c.out.write(Frame{Kind: KindRequest, Stream: s, Request: &r, Config: version, From: c.cfg.From}); err != nil {
+	if err := c.out.write(Frame{Kind: KindRequest, Stream: s, Request: &r, ConfigVersion: version, From: c.cfg.From}); err != nil {
 		c.removePending(s)
 		c.closeWithError(err)
 		return call.Answer{}, eris.Wrap(ErrClosed, err.Error())
@@ -115,7 +115,7 @@
 
 // unknownAnswer is the result of a call that was sent but not answered.
 func unknownAnswer(r call.Request, reason string) call.Answer {
-	return call.Answer{ID: r.ID, Status: call.Unknown, Reason: reason, RetriesUsed: r.Budget}
+	return call.Answer{ID: r.ID, Status: call.Unknown, Reason: reason, RetriesUsed: r.RetryBudget}
 }
 
 // Err returns why the connection closed, or nil while it is open.
@@ -169,7 +169,7 @@
 			continue
 		}
 		if c.cfg.OnVersion != nil {
-			c.cfg.OnVersion(f.Config)
+			c.cfg.OnVersion(f.ConfigVersion)
 		}
 		c.deliver(f.Stream, *f.Answer)
 	}
@@ -189,7 +189,7 @@
 
 // pendingCall is a call waiting for its answer; ch is closed if none will come.
 type pendingCall struct {
-	id     call.RequestID
-	ch     chan call.Answer
-	yields bool // call.Request.Yields
+	id             call.RequestID
+	ch             chan call.Answer
+	endOnSuspicion bool // call.Request.EndOnSuspicion
 }
--- a/wire/conn_bench_test.go
+++ b/wire/conn_bench_test.go
@@ -30,7 +30,7 @@
 	}
 	defer c.Close()
 	r := call.Request{ID: "0c4b6a8e-6f6e-4c35-9d55-2f0f5d1c2a11", Service: "freigabe", Operation: "approve",
-		Key: "release-4711/freigabe.approve", Remaining: 2 * time.Second, Budget: 3, Body: make([]byte, 256)}
+		Key: "release-4711/freigabe.approve", Remaining: 2 * time.Second, RetryBudget: 3, Body: make([]byte, 256)}
 	b.ReportAllocs()
 	cpu := cpuTime()
 	b.RunParallel(func(pb *testing.PB) {
@@ -55,12 +55,12 @@
 // 256-byte body, and of a ping.
 func BenchmarkFrameSize(b *testing.B) {
 	r := call.Request{ID: "0c4b6a8e-6f6e-4c35-9d55-2f0f5d1c2a11", Service: "freigabe", Operation: "approve",
-		Key: "release-4711/freigabe.approve", Remaining: 2 * time.Second, Budget: 3, Body: make([]byte, 256)}
+		Key: "release-4711/freigabe.approve", Remaining: 2 * time.Second, RetryBudget: 3, Body: make([]byte, 256)}
 	r.To, r.Sent = "freigabe-1", time.Now()
 	a := call.Answer{ID: r.ID, Status: call.OK, Body: make([]byte, 256)}
 	for b.Loop() {
-		req, _ := msgpack.Marshal(&Frame{Kind: KindRequest, Stream: 123456, Request: &r, Config: 42, From: "entwurf-1"})
-		ans, _ := msgpack.Marshal(&Frame{Kind: KindAnswer, Stream: 123456, Answer: &a, Config: 42})
+		req, _ := msgpack.Marshal(&Frame{Kind: KindRequest, Stream: 123456, Request: &r, ConfigVersion: 42, From: "entwurf-1"})
+		ans, _ := msgpack.Marshal(&Frame{Kind: KindAnswer, Stream: 123456, Answer: &a, ConfigVersion: 42})
 		ping, _ := msgpack.Marshal(&Frame{Kind: KindPing, Stream: 123456})
 		b.ReportMetric(float64(len(req)), "B/request")
 		b.ReportMetric(float64(len(ans)), "B/answer")
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -7,8 +7,10 @@
 var (
 	// ErrClosed is returned for calls on a closed connection.
 	ErrClosed = eris.New("connection closed")
-	// ErrSuspect is returned by Get for a peer that does not answer pings.
-	ErrSuspect = eris.New("peer does not answer")
-	// ErrSilent is why a connection was closed whose peer did not answer pings.
-	ErrSilent = eris.New("connection went silent")
+	// ErrPeerSuspected is returned by Get for a peer that does not answer
+	// pings.
+	ErrPeerSuspected = eris.New("peer does not answer")
+	// ErrKeepaliveTimeout is why a connection was closed whose peer did not
+	// answer pings.
+	ErrKeepaliveTimeout = eris.New("connection went silent")
 )
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -17,13 +17,13 @@
 	// as a msgpack array of its fields in this order, so new fields go last.
 	// Frames encoded as maps, as older versions sent them, can be decoded too.
 	Frame struct {
-		_msgpack struct{}      `msgpack:",as_array"`
-		Kind     Kind          `msgpack:"kind"`
-		Stream   Stream        `msgpack:"stream"`
-		Request  *call.Request `msgpack:"request,omitempty"`
-		Answer   *call.Answer  `msgpack:"answer,omitempty"`
-		Config   uint64        `msgpack:"config"`         // configuration version in effect at the sender
-		From     string        `msgpack:"from,omitempty"` // instance name of the sender of a request
+		_msgpack      struct{}      `msgpack:",as_array"`
+		Kind          Kind          `msgpack:"kind"`
+		Stream        Stream        `msgpack:"stream"`
+		Request       *call.Request `msgpack:"request,omitempty"`
+		Answer        *call.Answer  `msgpack:"answer,omitempty"`
+		ConfigVersion uint64        `msgpack:"config"`         // configuration version in effect at the sender
+		From          string        `msgpack:"from,omitempty"` // instance name of the sender of a request
 	}
 )
 
@@ -47,8 +47,8 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (f *Frame) DecodeMsgpack(d *msgpack.Decoder) error {
 	*f = Frame{}
-	if message.Named(d) {
+	if message.IsMap(d) {
 		return d.Decode((*namedFrame)(f))
 	}
-	return message.Decode(d, (*uint8)(&f.Kind), (*uint64)(&f.Stream), &f.Request, &f.Answer, &f.Config, &f.From)
+	return message.DecodeArray(d, (*uint8)(&f.Kind), (*uint64)(&f.Stream), &f.Request, &f.Answer, &f.ConfigVersion, &f.From)
 }
--- a/wire/keepalive.go
+++ b/wire/keepalive.go
@@ -9,18 +9,19 @@
 // their deadlines. Timeouts are counted in checks instead of clock time, so that
 // a pause of this process is not mistaken for silence of its peers.
 const (
-	// CheckEvery is the interval at which Check must be called.
-	CheckEvery = 100 * time.Millisecond
-	// SuspectBound is the maximum time until a silent connection with pending
-	// calls is suspected and new requests go to other instances. It exceeds two
-	// consecutive packet losses on a short link (600 ms) and leaves a caller
-	// with a timeout of 1 to 2 s enough time for another instance.
-	SuspectBound = (pendingPingChecks + suspectChecks + 1) * CheckEvery
-	// SilenceBound is the maximum time until a silent connection with pending
-	// calls is closed. It includes the check interval in which the call started.
-	SilenceBound = (pendingPingChecks + closeChecks + 1) * CheckEvery
-	// IdleSilenceBound is the same for a connection without pending calls.
-	IdleSilenceBound = (idlePingChecks + closeChecks + 1) * CheckEvery
+	// CheckInterval is the interval at which CheckKeepalive must be called.
+	CheckInterval = 100 * time.Millisecond
+	// SuspicionTimeout is the maximum time until a silent connection with
+	// pending calls is suspected and new requests go to other instances. It
+	// exceeds two consecutive packet losses on a short link (600 ms) and leaves
+	// a caller with a timeout of 1 to 2 s enough time for another instance.
+	SuspicionTimeout = (pendingPingChecks + suspectChecks + 1) * CheckInterval
+	// KeepaliveTimeout is the maximum time until a silent connection with
+	// pending calls is closed. It includes the check interval in which the call
+	// started.
+	KeepaliveTimeout = (pendingPingChecks + closeChecks + 1) * CheckInterval
+	// IdleKeepaliveTimeout is the same for a connection without pending calls.
+	IdleKeepaliveTimeout = (idlePingChecks + closeChecks + 1) * CheckInterval
 
 	pendingPingChecks = 3  // checks without a frame before a connection with pending calls is pinged
 	slowPingChecks    = 15 // the same after an answered ping: the peer is alive and its target is slow
@@ -36,14 +37,15 @@
 	ponged     bool // the last frame came after a ping
 }
 
-// Check runs one keepalive check and must be called every CheckEvery. It pings
-// the peer if no frame has arrived for some checks, marks the connection
-// suspected if no frame follows the ping, and finally closes it with ErrSilent.
-func (c *Conn) Check() {
+// CheckKeepalive runs one keepalive check and must be called every
+// CheckInterval. It pings the peer if no frame has arrived for some checks,
+// marks the connection suspected if no frame follows the ping, and finally
+// closes it with ErrKeepaliveTimeout.
+func (c *Conn) CheckKeepalive() {
 	received := c.received.Swap(false)
 	c.mu.Lock()
 	ping, silent := c.probe.tick(received, len(c.pending) > 0)
-	c.setSuspected(!c.cfg.Trusting && c.probe.sincePing > suspectChecks)
+	c.setSuspected(!c.cfg.DisableSuspicion && c.probe.sincePing > suspectChecks)
 	if ping {
 		c.lastStream++
 	}
@@ -51,7 +53,7 @@
 	c.mu.Unlock()
 	switch {
 	case silent:
-		c.closeWithError(ErrSilent)
+		c.closeWithError(ErrKeepaliveTimeout)
 	case ping:
 		// The write may block until its timeout and must not delay the
 		// checks of other connections.
@@ -63,9 +65,9 @@
 	}
 }
 
-// Suspect reports whether the last ping has been unanswered for more than
+// Suspected reports whether the last ping has been unanswered for more than
 // suspectChecks checks, so that the peer may be unreachable.
-func (c *Conn) Suspect() bool { return c.suspected.Load() }
+func (c *Conn) Suspected() bool { return c.suspected.Load() }
 
 // setSuspected sets or clears the suspicion. Setting it ends the pending calls
 // that may be sent to another instance. c.mu must be held.
@@ -74,7 +76,7 @@
 		return
 	}
 	for s, w := range c.pending {
-		if w.yields {
+		if w.endOnSuspicion {
 			close(w.ch)
 			delete(c.pending, s)
 		}
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -20,13 +20,13 @@
 	return NewConn(local, DialConfig{}), remote
 }
 
-// checkFor calls Check every CheckEvery until d has passed or c closes, and
-// returns how long it was open.
+// checkFor calls CheckKeepalive every CheckInterval until d has passed or c
+// closes, and returns how long it was open.
 func checkFor(c *Conn, d time.Duration) time.Duration {
 	start := time.Now()
 	for time.Since(start) < d && c.Err() == nil {
-		time.Sleep(CheckEvery)
-		c.Check()
+		time.Sleep(CheckInterval)
+		c.CheckKeepalive()
 	}
 	return time.Since(start)
 }
@@ -47,7 +47,7 @@
 }
 
 // A half-open connection accepts writes and delivers nothing. A pending call
-// must end within SilenceBound instead of waiting until its deadline.
+// must end within KeepaliveTimeout instead of waiting until its deadline.
 func TestSilentConnWithPendingCallIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
@@ -61,17 +61,18 @@
 			got <- a
 		}()
 		open := checkFor(c, time.Minute)
-		Convey("It is closed with ErrSilent within SilenceBound and the call ends as unknown", t, func() {
-			So(c.Err(), ShouldEqual, ErrSilent)
-			So(open, ShouldBeLessThanOrEqualTo, SilenceBound)
+		Convey("It is closed with ErrKeepaliveTimeout within KeepaliveTimeout and the call ends as unknown", t, func() {
+			So(c.Err(), ShouldEqual, ErrKeepaliveTimeout)
+			So(open, ShouldBeLessThanOrEqualTo, KeepaliveTimeout)
 			So((<-got).Status, ShouldEqual, call.Unknown)
 		})
 	})
 }
 
 // When a peer goes silent, a call that may be sent to another instance (a read)
-// must end within SuspectBound. Other calls may be running and must stay pending
-// while they can still be answered. A frame from the peer clears the suspicion.
+// must end within SuspicionTimeout. Other calls may be running and must stay
+// pending while they can still be answered. A frame from the peer clears the
+// suspicion.
 func TestSilentPeerIsSuspectedBeforeClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := pipe()
@@ -91,7 +92,7 @@
 		read, write := make(chan call.Answer, 1), make(chan call.Answer, 1)
 		send := func(id call.RequestID, yields bool, ch chan call.Answer) Frame {
 			go func() {
-				a, _ := c.Call(context.Background(), call.Request{ID: id, Yields: yields}, 1)
+				a, _ := c.Call(context.Background(), call.Request{ID: id, EndOnSuspicion: yields}, 1)
 				ch <- a
 			}()
 			return <-frames
@@ -99,18 +100,18 @@
 		start := time.Now()
 		send("read", true, read)
 		writeFrame := send("action", false, write)
-		Convey("The read ends within SuspectBound, the write when it is answered", t, func() {
-			for !c.Suspect() {
-				time.Sleep(CheckEvery)
-				c.Check()
+		Convey("The read ends within SuspicionTimeout, the write when it is answered", t, func() {
+			for !c.Suspected() {
+				time.Sleep(CheckInterval)
+				c.CheckKeepalive()
 			}
-			So(time.Since(start), ShouldBeLessThanOrEqualTo, SuspectBound)
+			So(time.Since(start), ShouldBeLessThanOrEqualTo, SuspicionTimeout)
 			So((<-read).Status, ShouldEqual, call.Unknown)
 			So(c.Err(), ShouldBeNil)
 			So(msgpack.NewEncoder(far).Encode(&Frame{Kind: KindAnswer, Stream: writeFrame.Stream, Answer: &call.Answer{ID: "action", Status: call.OK}}), ShouldBeNil)
 			So((<-write).Status, ShouldEqual, call.OK)
-			c.Check()
-			So(c.Suspect(), ShouldBeFalse)
+			c.CheckKeepalive()
+			So(c.Suspected(), ShouldBeFalse)
 		})
 		c.Close()
 	})
@@ -123,9 +124,9 @@
 		defer far.Close()
 		go io.Copy(io.Discard, far)
 		open := checkFor(c, time.Minute)
-		Convey("It is closed with ErrSilent within IdleSilenceBound", t, func() {
-			So(c.Err(), ShouldEqual, ErrSilent)
-			So(open, ShouldBeLessThanOrEqualTo, IdleSilenceBound)
+		Convey("It is closed with ErrKeepaliveTimeout within IdleKeepaliveTimeout", t, func() {
+			So(c.Err(), ShouldEqual, ErrKeepaliveTimeout)
+			So(open, ShouldBeLessThanOrEqualTo, IdleKeepaliveTimeout)
 		})
 	})
 }
@@ -143,10 +144,10 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 		defer cancel()
 		go slow.Call(ctx, call.Request{ID: "r"}, 1)
-		for range int(30 * time.Second / CheckEvery) {
-			time.Sleep(CheckEvery)
-			slow.Check()
-			idle.Check()
+		for range int(30 * time.Second / CheckInterval) {
+			time.Sleep(CheckInterval)
+			slow.CheckKeepalive()
+			idle.CheckKeepalive()
 		}
 		synctest.Wait()
 		Convey("Both are open after 30 s", t, func() {
--- a/wire/pool.go
+++ b/wire/pool.go
@@ -30,8 +30,8 @@
 		Log  log.Interface
 		// OnVersion, if not nil, is called with the configuration version in
 		// each answer of a peer.
-		OnVersion func(p Peer, version uint64)
-		Trusting  bool // see DialConfig
+		OnVersion        func(p Peer, version uint64)
+		DisableSuspicion bool // see DialConfig
 		// Dial opens the network connection; nil means TCP.
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
 	}
@@ -62,9 +62,10 @@
 	return &Pool{cfg: cfg, conns: map[string]*Conn{}, inProgress: map[string]*dial{}, failed: map[string]bool{}}
 }
 
-// GetWithin is Get with a timeout. It creates no timer if a connection is open.
-func (p *Pool) GetWithin(ctx context.Context, peer Peer, wait time.Duration) (*Conn, error) {
-	if c := p.openConn(peer.Addr); c != nil && !c.Suspect() {
+// GetTimeout is Get with a timeout. It creates no timer if a connection is
+// open.
+func (p *Pool) GetTimeout(ctx context.Context, peer Peer, wait time.Duration) (*Conn, error) {
+	if c := p.openConn(peer.Addr); c != nil && !c.Suspected() {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -83,18 +84,18 @@
 }
 
 // Get returns the open connection to a peer and dials one if there is none. It
-// returns ErrSuspect if the peer does not answer pings. Concurrent calls share
-// one dial, so that a recovering peer is not flooded with connections. If the
-// previous dial failed, only the call that started the current dial waits for
-// it and the others get ErrRedialing; otherwise an unreachable peer would delay
-// every call by dialTimeout.
+// returns ErrPeerSuspected if the peer does not answer pings. Concurrent calls
+// share one dial, so that a recovering peer is not flooded with connections. If
+// the previous dial failed, only the call that started the current dial waits
+// for it and the others get ErrRedialing; otherwise an unreachable peer would
+// delay every call by dialTimeout.
 func (p *Pool) Get(ctx context.Context, peer Peer) (*Conn, error) {
 	addr := peer.Addr
 	p.mu.Lock()
 	if c := p.conns[addr]; c != nil && c.Err() == nil {
 		p.mu.Unlock()
-		if c.Suspect() {
-			return nil, ErrSuspect
+		if c.Suspected() {
+			return nil, ErrPeerSuspected
 		}
 		return c, nil
 	}
@@ -122,7 +123,7 @@
 func (p *Pool) runDial(peer Peer, d *dial) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	cfg := DialConfig{From: p.cfg.From, Trusting: p.cfg.Trusting, Dial: p.cfg.Dial}
+	cfg := DialConfig{From: p.cfg.From, DisableSuspicion: p.cfg.DisableSuspicion, Dial: p.cfg.Dial}
 	if p.cfg.OnVersion != nil {
 		cfg.OnVersion = func(v uint64) { p.cfg.OnVersion(peer, v) }
 	}
@@ -141,10 +142,10 @@
 	close(d.done)
 }
 
-// KeepAlive calls Check on every connection once per CheckEvery until stop is
-// closed.
+// KeepAlive calls CheckKeepalive on every connection once per CheckInterval
+// until stop is closed.
 func (p *Pool) KeepAlive(stop <-chan struct{}) {
-	t := time.NewTicker(CheckEvery)
+	t := time.NewTicker(CheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -153,8 +154,8 @@
 		case <-t.C:
 		}
 		for addr, c := range p.openConns() {
-			c.Check()
-			if errors.Is(c.Err(), ErrSilent) {
+			c.CheckKeepalive()
+			if errors.Is(c.Err(), ErrKeepaliveTimeout) {
 				p.cfg.Log.WithField("peer", addr).Warn("peer_connection_silent")
 			}
 		}
@@ -177,9 +178,9 @@
 	return conns
 }
 
-// CloseAll closes every connection. Connections opened later by Get are closed
+// Close closes every connection. Connections opened later by Get are closed
 // immediately.
-func (p *Pool) CloseAll() {
+func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
--- a/wire/server.go
+++ b/wire/server.go
@@ -112,7 +112,7 @@
 func (sc *serverConn) handleRequest(ctx context.Context, f Frame) {
 	s := sc.server
 	if s.OnVersion != nil && f.From != "" {
-		s.OnVersion(f.From, f.Config)
+		s.OnVersion(f.From, f.ConfigVersion)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	sc.mu.Lock()
@@ -139,7 +139,7 @@
 }
 
 func (sc *serverConn) send(f Frame) {
-	f.Config = sc.server.version()
+	f.ConfigVersion = sc.server.version()
 	if sc.out.write(f) != nil {
 		sc.nc.Close()
 	}
--- a/wire/versions_test.go
+++ b/wire/versions_test.go
@@ -13,14 +13,14 @@
 // frames are the decoded golden files in testdata/former, which the previous
 // version wrote with every field set.
 var frames = map[string]Frame{
-	"request": {Kind: KindRequest, Stream: 300, Config: 42, From: "archiv-1", Request: &call.Request{ID: "r1", Service: "archiv",
-		Operation: "read", Key: "k", Remaining: time.Second, To: "i-1", Sent: time.Unix(1788000000, 5000).UTC(), Budget: 3, Passed: []string{"i-2"}, Body: []byte("body"),
+	"request": {Kind: KindRequest, Stream: 300, ConfigVersion: 42, From: "archiv-1", Request: &call.Request{ID: "r1", Service: "archiv",
+		Operation: "read", Key: "k", Remaining: time.Second, To: "i-1", Sent: time.Unix(1788000000, 5000).UTC(), RetryBudget: 3, DeclinedBy: []string{"i-2"}, Body: []byte("body"),
 		HTTP: &call.HTTPRequest{Method: "GET", Host: "h", URI: "/x?y", Header: []call.Field{{Name: "A", Value: "b"}}, Caller: "entwurf",
-			Level: 33, Begun: true, Repeat: true, Idempotent: true, Patience: time.Millisecond}}},
-	"answer": {Kind: KindAnswer, Stream: 300, Config: 42, Answer: &call.Answer{ID: "r1", Status: call.OK, Reason: "why", RetryAfter: time.Second,
+			Level: 33, Child: true, Retry: true, Idempotent: true, MaxQueueWait: time.Millisecond}}},
+	"answer": {Kind: KindAnswer, Stream: 300, ConfigVersion: 42, Answer: &call.Answer{ID: "r1", Status: call.OK, Reason: "why", RetryAfter: time.Second,
 		RetriesUsed: 1, Leaving: true, Declined: true, Body: []byte("body"), HTTP: &call.HTTPAnswer{Code: 200, Header: []call.Field{{Name: "A", Value: "b"}}},
-		Reached: true, Load: &call.Load{Busy: 1, Queued: 2, Limit: 3, Admit: 4, Failing: 0.5, Scarce: time.Second, Slow: 1.5, Binds: "entwurf"},
-		Ended: &call.End{ID: 9, Alone: true}, Held: true, News: []byte("news")}},
+		ReachedTarget: true, Load: &call.Load{InFlight: 1, Queued: 2, Limit: 3, Threshold: 4, FailureRate: 0.5, OverloadSlotTime: time.Second, Slowdown: 1.5, Bottleneck: "entwurf"},
+		InstanceEnd: &call.InstanceEnd{ID: 9, Isolated: true}, NoRetry: true, Piggyback: []byte("news")}},
 	"ping": {Kind: KindPing, Stream: 7},
 }
 
@@ -30,7 +30,7 @@
 func TestFramesMatchPreviousVersion(t *testing.T) {
 	for name, f := range frames {
 		Convey("The previous version's "+name+" is decoded, and encoding it gives the same bytes", t, func() {
-			golden := messagetest.Former(t, name)
+			golden := messagetest.Golden(t, name)
 			var got Frame
 			So(msgpack.Unmarshal(golden, &got), ShouldBeNil)
 			if got.Request != nil {
@@ -48,7 +48,7 @@
 // can be encoded and decoded again.
 func FuzzFrame(f *testing.F) {
 	for name := range frames {
-		f.Add(messagetest.Former(f, name))
+		f.Add(messagetest.Golden(f, name))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got Frame
