--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -41,9 +41,9 @@
 		dir := directory.New(p.Directory(lg))
 		store := platform.NewStore(s.Store, lg)
 		n, err := sidecar.New(sidecar.Config{
-			Name: s.Name, DC: s.DC, Service: s.Service, Target: s.Target, Callers: s.Callers, Peer: s.Peer,
-			Control: s.Control, Seeds: s.Seeds, Ready: s.Ready, Metrics: s.Metrics,
-			Headers: platform.Headers, Tuning: tuning(s), Policies: p, Grace: s.Grace, Directory: dir, Source: store, Log: lg,
+			Name: s.Name, DC: s.DC, Service: s.Service, TargetAddr: s.Target, CallerAddr: s.Callers, PeerAddr: s.Peer,
+			ControlAddr: s.Control, Seeds: s.Seeds, ReadyAddr: s.Ready, MetricsAddr: s.Metrics,
+			Headers: platform.Headers, Tuning: tuning(s), Policies: p, ShutdownGrace: s.Grace, Directory: dir, Source: store, Log: lg,
 		})
 		if err != nil {
 			return err
@@ -63,7 +63,7 @@
 
 // loadPolicies loads the optional [policies] section.
 func loadPolicies(path string) (sidecar.Policies, error) {
-	p := sidecar.Usual()
+	p := sidecar.DefaultPolicies()
 	err := settings.LoadOptional(path, "policies", &p)
 	return p, err
 }
@@ -72,7 +72,7 @@
 func tuning(s settings.Sidecar) sidecar.Tuning {
 	return sidecar.Tuning{
 		BodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
-		Repeats:   budget.RetryWindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, MinRetries: s.RepeatSlack},
+		Retries:   budget.RetryWindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, MinRetries: s.RepeatSlack},
 	}
 }
 
--- a/sidecar/account.go
+++ b/sidecar/account.go
@@ -61,7 +61,7 @@
 
 // checkRateLimit refuses the request if its account is over its rate limit.
 func (n *Node) checkRateLimit(a *account.Account) *refusal {
-	if !n.cfg.Policies.Limits {
+	if !n.cfg.Policies.RateLimits {
 		return nil
 	}
 	ok, retryAfter := n.limiter.Allow(a)
--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -177,7 +177,7 @@
 func (m *mesh) sendWithHeader(t testing.TB, v *vm, path string, h http.Header) (int, http.Header) {
 	id := "h" + time.Now().Format("150405.000000000")
 	id = id[:7] + id[8:]
-	req, err := http.NewRequest(http.MethodGet, "http://"+v.node.cfg.Callers+path, nil)
+	req, err := http.NewRequest(http.MethodGet, "http://"+v.node.cfg.CallerAddr+path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -76,7 +76,7 @@
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
-			c, err := net.Dial("tcp", m.vms[0].node.cfg.Callers)
+			c, err := net.Dial("tcp", m.vms[0].node.cfg.CallerAddr)
 			if err != nil {
 				b.Error(err)
 				return
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -186,7 +186,7 @@
 // exceeds the threshold of a target on its path. Refusing it here avoids
 // partial work that would be discarded.
 func (n *Node) admitNew(rt *directory.Route, level call.Level, remaining time.Duration) *refusal {
-	if since, ok := n.drainingSince(); ok && since > n.cfg.Grace*refuseNewNum/refuseNewDen {
+	if since, ok := n.drainingSince(); ok && since > n.cfg.ShutdownGrace*refuseNewNum/refuseNewDen {
 		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, retryAfter: retryAfterUnavailable, reason: "node is leaving"}
 	}
 	if threshold := n.admission.Threshold(rt.Name); level > threshold {
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -42,13 +42,13 @@
 	Wait     time.Duration // long-poll limit
 	// The position up to which the sender has received the peer's quarantine
 	// records; nil from a node that keeps none.
-	Told *quarantine.Cursor
+	Cursor *quarantine.Cursor
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (req *deltaRequest) DecodeMsgpack(d *msgpack.Decoder) error {
 	*req = deltaRequest{}
-	return message.DecodeArray(d, (*uint64)(&req.After), &req.Wait, &req.Told)
+	return message.DecodeArray(d, (*uint64)(&req.After), &req.Wait, &req.Cursor)
 }
 
 // onPeerRevision handles the directory revision in a peer's response. If the
@@ -84,7 +84,7 @@
 // Since implements membership.Peers.
 func (n *Node) Since(ctx context.Context, addr membership.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
 	var none directory.Delta
-	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Told: n.peerCursors.get(addr)})
+	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Cursor: n.peerCursors.get(addr)})
 	if err != nil {
 		return none, eris.Wrap(err, "encode directory request")
 	}
@@ -125,8 +125,8 @@
 	defer cancel()
 	defer context.AfterFunc(n.untilDrain, cancel)()
 	n.member.PeerPolled()
-	if req.Told != nil {
-		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Told), cancel)
+	if req.Cursor != nil {
+		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Cursor), cancel)
 	}
 	delta := n.dir.Await(ctx, req.After, min(req.Wait, maxPollWait))
 	if _, draining := n.drainingSince(); draining || !n.dir.HasSnapshot() {
@@ -137,7 +137,7 @@
 		n.log.WithError(err).Error("delta_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
 	}
-	return call.Answer{ID: r.ID, Status: call.OK, Body: b, Piggyback: n.encodeUpdate(req.Told)}
+	return call.Answer{ID: r.ID, Status: call.OK, Body: b, Piggyback: n.encodeUpdate(req.Cursor)}
 }
 
 // malformedAnswer returns the response to an operation whose body cannot be
--- a/sidecar/catchup_test.go
+++ b/sidecar/catchup_test.go
@@ -13,7 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func (v *vm) addr() membership.Addr { return membership.Addr(v.node.cfg.Peer) }
+func (v *vm) addr() membership.Addr { return membership.Addr(v.node.cfg.PeerAddr) }
 
 // A long poll must return a change as soon as the peer learns of it.
 func TestSinceReturnsPeerChanges(t *testing.T) {
--- a/sidecar/drain_test.go
+++ b/sidecar/drain_test.go
@@ -19,7 +19,7 @@
 		return got.code
 	}
 	Convey("New requests are refused after half of the grace period", t, func() {
-		So(v.node.cfg.Grace, ShouldEqual, 3*time.Second)
+		So(v.node.cfg.ShutdownGrace, ShouldEqual, 3*time.Second)
 		So(getAfter(time.Second), ShouldEqual, http.StatusOK)
 		So(getAfter(1600*time.Millisecond), ShouldEqual, http.StatusServiceUnavailable)
 		So(getAfter(2500*time.Millisecond), ShouldEqual, http.StatusServiceUnavailable)
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -163,7 +163,7 @@
 	}
 	r.EndOnSuspicion = q.route.Idempotent && len(att.tried) < q.route.MaxInstances && n.retryBudget(q.Service).CanRetry()
 	r.Remaining = time.Until(q.deadline) - peerMargin
-	if in.Addr == n.cfg.Target {
+	if in.Addr == n.cfg.TargetAddr {
 		return n.serveLocal(ctx, r), true
 	}
 	peer, err := n.peerFor(in)
--- a/sidecar/forward_test.go
+++ b/sidecar/forward_test.go
@@ -184,7 +184,7 @@
 func TestRestartedNodeLoadsDirectoryFromSeed(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("It queries the seeds in order until one answers", t, func() {
-		m.seeds = []string{"127.0.0.9:1", m.vms[1].node.cfg.Control}
+		m.seeds = []string{"127.0.0.9:1", m.vms[1].node.cfg.ControlAddr}
 		v := m.start("127.0.0.4", "rankings")
 		m.vms = append(m.vms, v)
 		for range 50 {
@@ -204,7 +204,7 @@
 func TestStalledBodyTimesOut(t *testing.T) {
 	m := newMesh(t, "archiv")
 	Convey("408 at the request's deadline", t, func() {
-		c, err := net.Dial("tcp", m.vms[0].node.cfg.Callers)
+		c, err := net.Dial("tcp", m.vms[0].node.cfg.CallerAddr)
 		So(err, ShouldBeNil)
 		defer c.Close()
 		io.WriteString(c, "PUT /publish/x HTTP/1.1\r\nHost: h\r\nRequest-Id: half\r\nDeadline-Ms: 300\r\nContent-Length: 10\r\n\r\nabc")
--- a/sidecar/identity_test.go
+++ b/sidecar/identity_test.go
@@ -15,7 +15,7 @@
 func TestNodeIdentityMatchesPeerAddress(t *testing.T) {
 	Convey("It is the address derived from its instance", t, func() {
 		lg := &log.Logger{Handler: discard.New()}
-		n, err := New(Config{Name: "n", Peer: "0.0.0.0:7620", Target: "10.1.0.8:8301", Headers: testHeaders, Policies: Usual(), Directory: directory.New(directory.DefaultConfig(lg)), Log: lg})
+		n, err := New(Config{Name: "n", PeerAddr: "0.0.0.0:7620", TargetAddr: "10.1.0.8:8301", Headers: testHeaders, Policies: DefaultPolicies(), Directory: directory.New(directory.DefaultConfig(lg)), Log: lg})
 		So(err, ShouldBeNil)
 		others, err := n.peerFor(directory.Instance{Addr: "10.1.0.8:8301"})
 		So(err, ShouldBeNil)
--- a/sidecar/lifetime_test.go
+++ b/sidecar/lifetime_test.go
@@ -29,7 +29,7 @@
 }
 
 func readyCode(v *vm) int {
-	resp, err := http.Get("http://" + v.node.cfg.Ready + "/ready")
+	resp, err := http.Get("http://" + v.node.cfg.ReadyAddr + "/ready")
 	if err != nil {
 		return 0
 	}
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -14,7 +14,7 @@
 	if b := n.accountRegistry(); b != nil {
 		n.limiter.SetRegistry(b)
 	}
-	in, ok := v.InstanceAt(n.cfg.Target)
+	in, ok := v.InstanceAt(n.cfg.TargetAddr)
 	if !ok {
 		n.self.Store(nil)
 		return
--- a/sidecar/mesh_test.go
+++ b/sidecar/mesh_test.go
@@ -212,16 +212,16 @@
 func (m *mesh) run(v *vm) {
 	lg := &log.Logger{Handler: discard.New()}
 	v.dir = directory.New(directory.DefaultConfig(lg))
-	n, err := New(Config{Seeds: m.seeds, Control: freeAddr(m.t, v.ip), Name: "node-" + v.ip, DC: "nord", Service: v.self.Service, Target: v.self.Addr, Callers: freeAddr(m.t, v.ip),
-		Peer: net.JoinHostPort(v.ip, strconv.Itoa(m.port)), Ready: freeAddr(m.t, v.ip), Metrics: freeAddr(m.t, v.ip), Headers: testHeaders,
-		Tuning: Tuning{BodyBytes: 1 << 20, Repeats: budget.RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 100}}, Policies: Usual(), Grace: 3 * time.Second, Directory: v.dir, Source: m.source, Log: lg})
+	n, err := New(Config{Seeds: m.seeds, ControlAddr: freeAddr(m.t, v.ip), Name: "node-" + v.ip, DC: "nord", Service: v.self.Service, TargetAddr: v.self.Addr, CallerAddr: freeAddr(m.t, v.ip),
+		PeerAddr: net.JoinHostPort(v.ip, strconv.Itoa(m.port)), ReadyAddr: freeAddr(m.t, v.ip), MetricsAddr: freeAddr(m.t, v.ip), Headers: testHeaders,
+		Tuning: Tuning{BodyBytes: 1 << 20, Retries: budget.RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 100}}, Policies: DefaultPolicies(), ShutdownGrace: 3 * time.Second, Directory: v.dir, Source: m.source, Log: lg})
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	v.node = n
 	go func() { v.served <- n.Serve() }()
-	m.awaitListening(n.cfg.Callers)
-	m.awaitListening(n.cfg.Ready)
+	m.awaitListening(n.cfg.CallerAddr)
+	m.awaitListening(n.cfg.ReadyAddr)
 }
 
 func (m *mesh) awaitListening(addr string) {
@@ -279,7 +279,7 @@
 // send sends a request from a caller to v's node on a new connection.
 func (m *mesh) send(ctx context.Context, v *vm, method, path, body string, header map[string]string) (id string, got reply) {
 	id = "req" + strconv.FormatInt(m.ids.Add(1), 10)
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.node.cfg.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+v.node.cfg.CallerAddr+path, strings.NewReader(body))
 	if err != nil {
 		m.t.Fatal(err)
 	}
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -43,25 +43,25 @@
 type (
 	// Config is the configuration of a Node.
 	Config struct {
-		Name    string // name of this node in logs, metrics and towards peers
-		DC      callgraph.DC
-		Service string // service of the local target
-		Target  string // host:port of the local target
-		Callers string // host:port that accepts requests from callers on this VM and from the local target
-		Peer    string // host:port that accepts requests from other nodes; the port is the same on all VMs
-		Control string // host:port that accepts requests from nodes without a directory; empty for none
+		Name        string // name of this node in logs, metrics and towards peers
+		DC          callgraph.DC
+		Service     string // service of the local target
+		TargetAddr  string // host:port of the local target
+		CallerAddr  string // host:port that accepts requests from callers on this VM and from the local target
+		PeerAddr    string // host:port that accepts requests from other nodes; the port is the same on all VMs
+		ControlAddr string // host:port that accepts requests from nodes without a directory; empty for none
 		// Seeds are control addresses of other nodes, queried for the
 		// directory at startup while the source does not answer.
-		Seeds   []string
-		Ready   string // host:port of the readiness endpoint
-		Metrics string // host:port of the metrics endpoint
-		Headers call.Headers
-		Tuning  Tuning
+		Seeds       []string
+		ReadyAddr   string // host:port of the readiness endpoint
+		MetricsAddr string // host:port of the metrics endpoint
+		Headers     call.Headers
+		Tuning      Tuning
 		// Policies selects the enabled policies.
 		Policies Policies
-		// Grace is the time from Shutdown until the process is killed.
-		Grace     time.Duration
-		Directory *directory.Directory
+		// ShutdownGrace is the time from Shutdown until the process is killed.
+		ShutdownGrace time.Duration
+		Directory     *directory.Directory
 		// Source feeds the Directory. It is nil for a node that learns the
 		// directory from its seeds or is updated by its owner.
 		Source directory.Source
@@ -73,7 +73,7 @@
 		// BodyBytes bounds the total size of request bodies held in memory; 0
 		// means no bound.
 		BodyBytes int64
-		Repeats   budget.RetryWindowConfig // retry budget of each service
+		Retries   budget.RetryWindowConfig // retry budget of each service
 	}
 
 	// Node is a running sidecar. New builds one.
@@ -139,9 +139,9 @@
 
 // New returns a Node that is not running yet; Serve starts it.
 func New(cfg Config) (*Node, error) {
-	_, port, err := net.SplitHostPort(cfg.Peer)
+	_, port, err := net.SplitHostPort(cfg.PeerAddr)
 	if err != nil {
-		return nil, eris.Wrapf(err, "peer address %s", cfg.Peer)
+		return nil, eris.Wrapf(err, "peer address %s", cfg.PeerAddr)
 	}
 	n := &Node{
 		cfg:          cfg,
@@ -157,7 +157,7 @@
 		thresholds:   admit.NewThresholdTable(),
 		costs:        admit.NewRouteCosts(),
 		running:      newRunningRequests(),
-		target:       targetconn.NewPool(targetconn.Config{Addr: cfg.Target, Headers: cfg.Headers}),
+		target:       targetconn.NewPool(targetconn.Config{Addr: cfg.TargetAddr, Headers: cfg.Headers}),
 		peerPort:     port,
 		stats:        newStats(cfg.Name),
 		retryBudgets: map[string]*budget.RetryWindow{},
@@ -169,7 +169,7 @@
 		dropHeaders:             newDropHeaders(cfg.Headers, false),
 		dropHeadersWithAccounts: newDropHeaders(cfg.Headers, true),
 	}
-	self, err := n.peerFor(directory.Instance{Addr: cfg.Target})
+	self, err := n.peerFor(directory.Instance{Addr: cfg.TargetAddr})
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 	n.vouchChecker = vouch.NewChecker(vouch.Config{Listed: n.listed, Probe: n.probe, LastSourceFailure: n.dir.LastSourceFailure})
 	loadAdmission := cfg.Policies.admission(n.thresholds)
 	n.successRates = admit.NewSuccessRateLimiter(loadAdmission)
-	n.admission = choose[admit.Admission](cfg.Policies.Prospects, n.successRates, loadAdmission)
+	n.admission = choose[admit.Admission](cfg.Policies.SuccessRates, n.successRates, loadAdmission)
 	n.levels = cfg.Policies.levels(n.costs)
 	n.queueWait, n.retryAfter = cfg.Policies.queueWait(), cfg.Policies.retryAfter()
 	n.tuning.Store(&cfg.Tuning)
@@ -207,22 +207,22 @@
 		go func() { <-n.stop; l.Close() }()
 		return nil
 	}
-	if n.cfg.Control != "" {
-		if err := listen(n.cfg.Control, n.peerServer.Serve); err != nil {
+	if n.cfg.ControlAddr != "" {
+		if err := listen(n.cfg.ControlAddr, n.peerServer.Serve); err != nil {
 			return err
 		}
 	}
 	for _, s := range []struct {
 		addr  string
 		serve func(net.Listener) error
-	}{{n.cfg.Peer, n.peerServer.Serve}, {n.cfg.Callers, n.callerServer.Serve}, {n.cfg.Ready, n.readyServer.Serve}, {n.cfg.Metrics, n.metricsServer.Serve}} {
+	}{{n.cfg.PeerAddr, n.peerServer.Serve}, {n.cfg.CallerAddr, n.callerServer.Serve}, {n.cfg.ReadyAddr, n.readyServer.Serve}, {n.cfg.MetricsAddr, n.metricsServer.Serve}} {
 		if err := listen(s.addr, s.serve); err != nil {
 			return err
 		}
 	}
 	go n.peers.KeepAlive(n.stop)
 	go n.runBackground()
-	n.log.WithFields(log.Fields{"callers": n.cfg.Callers, "peer": n.cfg.Peer, "service": n.cfg.Service}).Info("node_started")
+	n.log.WithFields(log.Fields{"callers": n.cfg.CallerAddr, "peer": n.cfg.PeerAddr, "service": n.cfg.Service}).Info("node_started")
 	err := <-failed
 	select {
 	case <-n.stop:
@@ -280,7 +280,7 @@
 	n.drainStart.Store(began.UnixNano())
 	n.startDrain()
 	n.log.Info("node_leaving")
-	deadline := began.Add(n.cfg.Grace * drainTimeoutNum / drainTimeoutDen)
+	deadline := began.Add(n.cfg.ShutdownGrace * drainTimeoutNum / drainTimeoutDen)
 	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 	for now := range t.C {
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -44,7 +44,7 @@
 	Convey("The target's own failures are reported, those of child requests are not", t, func() {
 		for range 10 {
 			m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
-				child, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.Callers+"/lookup/x", nil)
+				child, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.CallerAddr+"/lookup/x", nil)
 				if err != nil {
 					return
 				}
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -14,35 +14,35 @@
 // Policies are the features that an operator can disable one by one to
 // measure their effect; docs/POLICY.md has results. Each is on by default.
 type Policies struct {
-	Thresholds  bool `ini:"thresholds"`   // refuse new requests at the entry node by the thresholds that targets report
-	Prospects   bool `ini:"prospects"`    // also refuse routes whose requests nearly all fail
-	Costs       bool `ini:"costs"`        // admit kinds of requests by their cost
-	Parts       bool `ini:"parts"`        // queue requests of equal rank by level instead of by arrival
-	Pace        bool `ini:"pace"`         // refuse requests that a slow target cannot finish before their deadline
-	Patience    bool `ini:"patience"`     // limit queueing of new requests to what their deadline allows
-	ComeBack    bool `ini:"come_back"`    // derive Retry-After from the caller's deadline
-	Repeats     bool `ini:"repeats"`      // retry on a second instance
-	Told        bool `ini:"told"`         // weigh the failure ratios that nodes report for their instances
-	Speed       bool `ini:"speed"`        // send less to slow instances
-	Tight       bool `ini:"tight"`        // send non-idempotent requests with short deadlines to fast instances
-	Explore     bool `ini:"explore"`      // and occasionally to any instance
-	Sample      bool `ini:"sample"`       // balance over a sample of instances instead of all
-	Vouch       bool `ini:"vouch"`        // nodes vouch for instances whose directory entries have gone
-	Quarantine  bool `ini:"quarantine"`   // isolate requests that crash instances
-	Doubt       bool `ini:"doubt"`        // keep entries that are missing after a source outage for a while
-	Suspicion   bool `ini:"suspicion"`    // skip peers that do not answer pings
-	Spread      bool `ini:"spread"`       // spread directory watches after a change
-	Limits      bool `ini:"limits"`       // enforce the rate limits of accounts
-	Readers     bool `ini:"readers"`      // few nodes read the source, and the others read from them
-	ServePeers  bool `ini:"serve_peers"`  // a stopping node serves peers for a while
-	DecisionLog bool `ini:"decision_log"` // log decisions
+	Thresholds     bool `ini:"thresholds"`   // refuse new requests at the entry node by the thresholds that targets report
+	SuccessRates   bool `ini:"prospects"`    // also refuse routes whose requests nearly all fail
+	Costs          bool `ini:"costs"`        // admit kinds of requests by their cost
+	QueueByLevel   bool `ini:"parts"`        // queue requests of equal rank by level instead of by arrival
+	SlowdownCheck  bool `ini:"pace"`         // refuse requests that a slow target cannot finish before their deadline
+	QueueWaitLimit bool `ini:"patience"`     // limit queueing of new requests to what their deadline allows
+	RetryAfter     bool `ini:"come_back"`    // derive Retry-After from the caller's deadline
+	Retries        bool `ini:"repeats"`      // retry on a second instance
+	ReportedHealth bool `ini:"told"`         // weigh the failure rates that nodes report for their instances
+	Latency        bool `ini:"speed"`        // send less to slow instances
+	ShortDeadline  bool `ini:"tight"`        // send non-idempotent requests with short deadlines to fast instances
+	Explore        bool `ini:"explore"`      // and occasionally to any instance
+	Sample         bool `ini:"sample"`       // balance over a sample of instances instead of all
+	Vouch          bool `ini:"vouch"`        // nodes vouch for instances whose directory entries have gone
+	Quarantine     bool `ini:"quarantine"`   // isolate requests that crash instances
+	OutageGrace    bool `ini:"doubt"`        // keep entries that are missing after a source outage for a while
+	Suspicion      bool `ini:"suspicion"`    // skip peers that do not answer pings
+	SpreadWatches  bool `ini:"spread"`       // spread directory watches after a change
+	RateLimits     bool `ini:"limits"`       // enforce the rate limits of accounts
+	Readers        bool `ini:"readers"`      // few nodes read the source, and the others read from them
+	ServePeers     bool `ini:"serve_peers"`  // a stopping node serves peers for a while
+	DecisionLog    bool `ini:"decision_log"` // log decisions
 }
 
-// Usual returns the default policies, with all enabled.
-func Usual() Policies {
-	return Policies{Thresholds: true, Prospects: true, Costs: true, Parts: true, Pace: true, Patience: true, ComeBack: true,
-		Repeats: true, Told: true, Speed: true, Tight: true, Explore: true, Sample: true, Vouch: true, Quarantine: true, Doubt: true, Suspicion: true,
-		Spread: true, Limits: true, Readers: true, ServePeers: true, DecisionLog: true}
+// DefaultPolicies returns the default policies, with all enabled.
+func DefaultPolicies() Policies {
+	return Policies{Thresholds: true, SuccessRates: true, Costs: true, QueueByLevel: true, SlowdownCheck: true, QueueWaitLimit: true, RetryAfter: true,
+		Retries: true, ReportedHealth: true, Latency: true, ShortDeadline: true, Explore: true, Sample: true, Vouch: true, Quarantine: true, OutageGrace: true, Suspicion: true,
+		SpreadWatches: true, RateLimits: true, Readers: true, ServePeers: true, DecisionLog: true}
 }
 
 // choose returns policy if on is set, and fallback otherwise.
@@ -58,23 +58,23 @@
 func (p Policies) Directory(l log.Interface) directory.Config {
 	cfg := directory.DefaultConfig(l)
 	cfg.UnlistedGrace = choose(p.Vouch, cfg.UnlistedGrace, 0)
-	cfg.OutageGrace = choose(p.Doubt, cfg.OutageGrace, 0)
-	cfg.SpreadWatches = p.Spread
+	cfg.OutageGrace = choose(p.OutageGrace, cfg.OutageGrace, 0)
+	cfg.SpreadWatches = p.SpreadWatches
 	return cfg
 }
 
 func (p Policies) balancer(dc callgraph.DC) balance.Config {
 	w := balance.DefaultWeights()
-	w.ReportedHealth = choose(p.Told, w.ReportedHealth, 0)
-	w.Latency = choose(p.Speed, w.Latency, 0)
-	w.ShortDeadline = choose(p.Tight, w.ShortDeadline, 0)
+	w.ReportedHealth = choose(p.ReportedHealth, w.ReportedHealth, 0)
+	w.Latency = choose(p.Latency, w.Latency, 0)
+	w.ShortDeadline = choose(p.ShortDeadline, w.ShortDeadline, 0)
 	w.ExploreOneIn = choose(p.Explore, w.ExploreOneIn, 0)
 	w.SampleSize = choose(p.Sample, w.SampleSize, 0)
 	return balance.Config{DC: dc, Weights: w}
 }
 
 func (p Policies) queueOrder() slots.QueueOrder {
-	return slots.QueueOrder{ByLevel: p.Parts}
+	return slots.QueueOrder{ByLevel: p.QueueByLevel}
 }
 
 func (p Policies) admission(b *admit.ThresholdTable) admit.Admission {
@@ -86,15 +86,15 @@
 }
 
 func (p Policies) queueWait() admit.WaitFunc {
-	return choose(p.Patience, admit.RequestTiming.MaxQueueWait, admit.WaitUntilDeadline)
+	return choose(p.QueueWaitLimit, admit.RequestTiming.MaxQueueWait, admit.WaitUntilDeadline)
 }
 
 func (p Policies) retryAfter() admit.WaitFunc {
-	return choose(p.ComeBack, admit.RequestTiming.RetryAfter, admit.RetryInOneSecond)
+	return choose(p.RetryAfter, admit.RequestTiming.RetryAfter, admit.RetryInOneSecond)
 }
 
 func (p Policies) retryBudget(w budget.RetryWindowConfig) budget.RetryWindowConfig {
-	return choose(p.Repeats, w, budget.RetryWindowConfig{Span: w.Span})
+	return choose(p.Retries, w, budget.RetryWindowConfig{Span: w.Span})
 }
 
 func (p Policies) decisionLogRate() int { return choose(p.DecisionLog, timeline.LinesPerSecond, 0) }
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -13,7 +13,7 @@
 // Guards against a new policy that is missing from the defaults.
 func TestUsualEnablesEveryPolicy(t *testing.T) {
 	Convey("Each field is set", t, func() {
-		v := reflect.ValueOf(Usual())
+		v := reflect.ValueOf(DefaultPolicies())
 		for i := range v.NumField() {
 			So(v.Type().Field(i).Tag.Get("ini"), ShouldNotBeEmpty)
 			So(v.Field(i).Bool(), ShouldBeTrue)
@@ -25,7 +25,7 @@
 	Convey("Each policy has a fallback", t, func() {
 		b, c := admit.NewThresholdTable(), admit.NewRouteCosts()
 		b.RecordThreshold("read", 3, "archiv")
-		on, off := Usual(), Policies{}
+		on, off := DefaultPolicies(), Policies{}
 		So(on.admission(b).Threshold("read"), ShouldEqual, 3)
 		So(off.admission(b).Threshold("read"), ShouldEqual, admit.MaxLevel)
 		So(on.levels(c), ShouldEqual, c)
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -196,7 +196,7 @@
 			}
 			So(v.ip+" "+strconv.FormatBool(knows(v)), ShouldEqual, v.ip+" true")
 		}
-		f.seeds = []string{f.vms[1].node.cfg.Control}
+		f.seeds = []string{f.vms[1].node.cfg.ControlAddr}
 		v := f.mesh.start("127.0.0.40", "archiv")
 		f.vms = append(f.vms, v)
 		deadline = time.Now().Add(2 * time.Second)
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -139,7 +139,7 @@
 // can still execute the request. A few requests are let through anyway, to
 // measure the slowdown.
 func (n *Node) canMeetDeadline(r call.Request, deadline time.Time) bool {
-	if !n.cfg.Policies.Pace || n.slowdown.ExpectedTime(r.Operation) <= time.Until(deadline) {
+	if !n.cfg.Policies.SlowdownCheck || n.slowdown.ExpectedTime(r.Operation) <= time.Until(deadline) {
 		return true
 	}
 	l := n.gate.Load()
--- a/sidecar/stats_test.go
+++ b/sidecar/stats_test.go
@@ -11,7 +11,7 @@
 )
 
 func readMetrics(v *vm) string {
-	resp, err := http.Get("http://" + v.node.cfg.Metrics + "/metrics")
+	resp, err := http.Get("http://" + v.node.cfg.MetricsAddr + "/metrics")
 	So(err, ShouldBeNil)
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
--- a/sidecar/tuning.go
+++ b/sidecar/tuning.go
@@ -17,7 +17,7 @@
 	defer n.mu.Unlock()
 	w := n.retryBudgets[service]
 	if w == nil {
-		w = budget.NewRetryWindow(n.cfg.Policies.retryBudget(n.tuning.Load().Repeats))
+		w = budget.NewRetryWindow(n.cfg.Policies.retryBudget(n.tuning.Load().Retries))
 		n.retryBudgets[service] = w
 	}
 	return w
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, in := range v.All() {
-		if in.Unlisted && (in.Addr == n.cfg.Target || n.balancer.HasState(in.Start())) && n.vouchQueries.begin(in.Start()) {
+		if in.Unlisted && (in.Addr == n.cfg.TargetAddr || n.balancer.HasState(in.Start())) && n.vouchQueries.begin(in.Start()) {
 			go n.trackUnlisted(in)
 		}
 	}
@@ -98,7 +98,7 @@
 func (n *Node) requestVouch(in directory.Instance) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), vouchTimeout)
 	defer cancel()
-	if in.Addr == n.cfg.Target {
+	if in.Addr == n.cfg.TargetAddr {
 		return n.vouch(ctx, in.Start()), nil
 	}
 	peer, err := n.peerFor(in)
@@ -167,7 +167,7 @@
 	if path == "" {
 		return vouch.StatusUnknown
 	}
-	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.Target, URI: path})
+	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.TargetAddr, URI: path})
 	switch {
 	case errors.Is(err, targetconn.ErrConnRefused):
 		n.vouchChecker.RecordEnd()
--- a/sidecar/wire_test.go
+++ b/sidecar/wire_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-var testRequest = deltaRequest{After: 300, Wait: time.Second, Told: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
+var testRequest = deltaRequest{After: 300, Wait: time.Second, Cursor: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
 
 // The encoding of a deltaRequest must match that of the previous version.
 func TestDeltaRequestWireCompatibility(t *testing.T) {
