--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		defer closer.Close()
-		n := node.New(node.Config{Settings: s, Log: lg, Skew: s.ClockSkew})
+		n := node.New(node.Config{Settings: s, Log: lg, ClockSkew: s.ClockSkew})
 		return runUntilSignal(n.Serve, func(ctx context.Context) { n.Shutdown(ctx) })
 	},
 }
--- a/filter/chain_bench_test.go
+++ b/filter/chain_bench_test.go
@@ -42,7 +42,7 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		w := NewWindow[call.Key, *execution](time.Hour)
+		w := NewTTLMap[call.Key, *execution](time.Hour)
 		for i := range keys {
 			r := &execution{done: make(chan struct{})}
 			r.answer.Store(&call.Answer{Status: call.OK})
--- a/filter/dedup.go
+++ b/filter/dedup.go
@@ -20,7 +20,7 @@
 // retried here, unless the refusal declined the key: another instance may
 // then run it, so this one must not. Dedup is safe for concurrent use.
 type Dedup struct {
-	window         *Window[call.Key, *execution]
+	window         *TTLMap[call.Key, *execution]
 	maxAnswerBytes int
 
 	mu            sync.Mutex
@@ -38,7 +38,7 @@
 // NewDedup returns a Dedup that remembers keys for ttl and retains answers of
 // at most maxAnswerBytes in total, but always at least the latest.
 func NewDedup(ttl time.Duration, maxAnswerBytes int) *Dedup {
-	return &Dedup{window: NewWindow[call.Key, *execution](ttl), maxAnswerBytes: maxAnswerBytes}
+	return &Dedup{window: NewTTLMap[call.Key, *execution](ttl), maxAnswerBytes: maxAnswerBytes}
 }
 
 // Filter returns the dedup filter.
--- a/filter/owner.go
+++ b/filter/owner.go
@@ -7,11 +7,10 @@
 	"github.com/oatpin/oatpin/owner"
 )
 
-// Owner passes a non-idempotent call on only if this instance may run its
-// key. It must come after Dedup, which answers keys that already ran here,
-// and before Drain, which declines keys that this instance would otherwise
-// run.
-func Owner(ownership *owner.Arbiter) Filter {
+// KeyOwnership passes a non-idempotent call on only if this instance may run
+// its key. It must come after Dedup, which answers keys that already ran here,
+// and before Drain, which declines keys that this instance would otherwise run.
+func KeyOwnership(ownership *owner.Arbiter) Filter {
 	return func(next Handler) Handler {
 		return HandlerFunc(func(ctx context.Context, c *Call) call.Answer {
 			if c.Op.Idempotent {
--- a/node/node.go
+++ b/node/node.go
@@ -55,9 +55,9 @@
 		Graph    *callgraph.Graph // initial configuration; nil to wait for the platform
 		Log      log.Interface
 		Client   *http.Client // for the local target and the platform; nil for a default
-		// Skew is the maximum clock difference between callers and nodes; 0
-		// when all run on one machine.
-		Skew time.Duration
+		// ClockSkew is the maximum clock difference between callers and nodes;
+		// 0 when all run on one machine.
+		ClockSkew time.Duration
 		// Dial opens a connection to a peer; nil for TCP.
 		Dial func(ctx context.Context, addr string) (net.Conn, error)
 		// Baseline disables admission control, key ownership checks and retry
@@ -117,17 +117,17 @@
 	}
 	n.stats = newStats(cfg.Settings.Instance)
 	n.peers = wire.NewPool(wire.PoolConfig{From: cfg.Settings.Instance, Log: n.log, OnVersion: func(p wire.Peer, v uint64) { n.onPeerVersion(p.Name, v) }, Dial: cfg.Dial})
-	n.ownership = owner.NewArbiter(owner.Config{Instance: cfg.Settings.Instance, DedupWindow: dedupWindow, ClockSkew: cfg.Skew, HasLeft: n.drainedBefore})
+	n.ownership = owner.NewArbiter(owner.Config{Instance: cfg.Settings.Instance, DedupWindow: dedupWindow, ClockSkew: cfg.ClockSkew, HasLeft: n.drainedBefore})
 	n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget),
-		filter.Deadline(cfg.Skew),
+		filter.Deadline(cfg.ClockSkew),
 		n.dedup.Filter(),
-		filter.Owner(n.ownership),
+		filter.KeyOwnership(n.ownership),
 		filter.Drain(&n.leaving),
 		n.admission.Filter(),
 	)
 	n.policy = budgetedPolicy{}
 	if cfg.Baseline {
-		n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget), filter.Deadline(cfg.Skew), filter.Drain(&n.leaving), n.dedup.Filter())
+		n.localChain = filter.Chain(filter.HandlerFunc(n.callTarget), filter.Deadline(cfg.ClockSkew), filter.Drain(&n.leaving), n.dedup.Filter())
 		n.policy = baselinePolicy{}
 	}
 	n.wire = wire.Server{Handler: n.servePeer, Version: n.version, OnVersion: n.onPeerVersion}
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -84,7 +84,7 @@
 		p.handler = filter.Chain(filter.HandlerFunc(func(_ context.Context, c *filter.Call) call.Answer {
 			f.runs[c.Request.Key]++
 			return call.Answer{Status: call.OK}
-		}), filter.NewDedup(window, 1<<20).Filter(), filter.Owner(p.arbiter), filter.Drain(&p.leaving))
+		}), filter.NewDedup(window, 1<<20).Filter(), filter.KeyOwnership(p.arbiter), filter.Drain(&p.leaving))
 	}
 	p.apply(f.graphs[len(f.graphs)-1])
 	return p
