--- a/callgraph/check.go
+++ b/callgraph/check.go
@@ -9,7 +9,7 @@
 // to services missing from depends_on, and dependency cycles.
 func (p *parser) check(g *Graph) {
 	serviceOf := map[string]string{} // instance -> service
-	for _, name := range g.Names() {
+	for _, name := range g.ServiceNames() {
 		s := g.Services[name]
 		line := p.lines.sections[sectionService+"."+name]
 		if len(s.Instances) == 0 {
@@ -77,7 +77,7 @@
 		state[n] = done
 		return nil
 	}
-	for _, n := range g.Names() {
+	for _, n := range g.ServiceNames() {
 		if state[n] == unvisited {
 			if c := visit(n); c != nil {
 				return c
--- a/callgraph/errors.go
+++ b/callgraph/errors.go
@@ -22,14 +22,15 @@
 		Reason string
 	}
 
-	// TextError lists all problems found in one configuration; it matches ErrInvalid.
-	TextError struct {
+	// ValidationError lists all problems found in one configuration; it matches
+	// ErrInvalid.
+	ValidationError struct {
 		Problems []Problem
 	}
 )
 
 // Error returns all problems, one per line, as "line N: reason".
-func (e *TextError) Error() string {
+func (e *ValidationError) Error() string {
 	var b strings.Builder
 	b.WriteString(ErrInvalid.Error())
 	for _, p := range e.Problems {
@@ -43,4 +44,4 @@
 }
 
 // Unwrap returns ErrInvalid for errors.Is.
-func (*TextError) Unwrap() error { return ErrInvalid }
+func (*ValidationError) Unwrap() error { return ErrInvalid }
--- a/callgraph/graph.go
+++ b/callgraph/graph.go
@@ -16,11 +16,11 @@
 
 	// Graph is one validated configuration.
 	Graph struct {
-		Version  Version
-		Retries  int // retry budget of one request across all hops
-		Services map[string]*Service
-		Text     []byte    // source text as submitted
-		Accepted time.Time // when the platform accepted it; zero if unknown
+		Version     Version
+		RetryBudget int // retries allowed for one request across all hops
+		Services    map[string]*Service
+		Text        []byte    // source text as submitted
+		AcceptedAt  time.Time // when the platform accepted it; zero if unknown
 
 		byName map[string]instancePos // instances by name; set by Parse
 	}
@@ -51,13 +51,13 @@
 
 	// Operation is one operation of a service and its request policy.
 	Operation struct {
-		Name       string
-		Class      call.Class
-		Idempotent bool
-		Deadline   time.Duration
-		Retries    int           // retries per hop, within the retry budget of the request
-		Cost       time.Duration // service time in the simulated target
-		Calls      []Ref         // downstream calls, in order
+		Name        string
+		Class       call.Class
+		Idempotent  bool
+		Deadline    time.Duration
+		MaxRetries  int           // retries per hop, within the request's RetryBudget
+		ServiceTime time.Duration // in the simulated target
+		Calls       []Ref         // downstream calls, in order
 	}
 
 	// Ref identifies an operation, written service.operation.
@@ -99,8 +99,8 @@
 	}
 }
 
-// Names returns the service names in sorted order.
-func (g *Graph) Names() []string {
+// ServiceNames returns the service names in sorted order.
+func (g *Graph) ServiceNames() []string {
 	names := make([]string, 0, len(g.Services))
 	for n := range g.Services {
 		names = append(names, n)
--- a/callgraph/parse.go
+++ b/callgraph/parse.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	sectionService   = "service"
-	sectionInstance  = "instance"
-	sectionOperation = "operation"
-	defaultRetries   = 3
+	sectionService     = "service"
+	sectionInstance    = "instance"
+	sectionOperation   = "operation"
+	defaultRetryBudget = 3
 )
 
 // parser collects all problems of one configuration instead of stopping at the first.
@@ -23,25 +23,25 @@
 	problems []Problem
 }
 
-// Parse parses and validates a configuration. A failure is a *TextError
+// Parse parses and validates a configuration. A failure is a *ValidationError
 // (matching ErrInvalid) that lists every problem with its line.
 func Parse(text []byte) (*Graph, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{Insensitive: false}, text)
 	if err != nil {
-		return nil, &TextError{Problems: []Problem{{Reason: err.Error()}}}
+		return nil, &ValidationError{Problems: []Problem{{Reason: err.Error()}}}
 	}
 	p := &parser{lines: indexLines(text)}
 	g := &Graph{Services: map[string]*Service{}, Text: text}
 	root := f.Section(ini.DefaultSection)
 	g.Version = Version(p.uint(root, "version", 0, true))
-	g.Retries = p.int(root, "retries", defaultRetries)
+	g.RetryBudget = p.int(root, "retries", defaultRetryBudget)
 	for _, s := range f.Sections() {
 		p.parseSection(g, s)
 	}
 	p.check(g)
 	if len(p.problems) > 0 {
 		slices.SortStableFunc(p.problems, func(a, b Problem) int { return a.Line - b.Line })
-		return nil, &TextError{Problems: p.problems}
+		return nil, &ValidationError{Problems: p.problems}
 	}
 	g.indexInstances()
 	return g, nil
@@ -98,12 +98,12 @@
 
 func (p *parser) parseOperation(s *ini.Section, name string) *Operation {
 	op := &Operation{
-		Name:       name,
-		Class:      call.Class(s.Key("class").String()),
-		Idempotent: p.bool(s, "idempotent"),
-		Deadline:   p.duration(s, "deadline", time.Second),
-		Retries:    p.int(s, "retries", 0),
-		Cost:       p.duration(s, "cost", time.Millisecond),
+		Name:        name,
+		Class:       call.Class(s.Key("class").String()),
+		Idempotent:  p.bool(s, "idempotent"),
+		Deadline:    p.duration(s, "deadline", time.Second),
+		MaxRetries:  p.int(s, "retries", 0),
+		ServiceTime: p.duration(s, "cost", time.Millisecond),
 	}
 	if op.Class != call.Critical && op.Class != call.Sheddable {
 		p.addProblem(p.lines.lineOf(s.Name(), "class"), "operation %s: class must be critical or sheddable, not %q", name, op.Class)
--- a/callgraph/parse_test.go
+++ b/callgraph/parse_test.go
@@ -14,7 +14,7 @@
 	Convey("The example configurations parse", t, func() {
 		kesslerRaab, err := Parse(examples.KesslerRaab)
 		So(err, ShouldBeNil)
-		So(kesslerRaab.Names(), ShouldResemble, []string{"archiv", "entwurf", "freigabe", "versand"})
+		So(kesslerRaab.ServiceNames(), ShouldResemble, []string{"archiv", "entwurf", "freigabe", "versand"})
 		So(kesslerRaab.Depth(Ref{Service: "entwurf", Operation: "publish"}), ShouldEqual, 4)
 		So(kesslerRaab.Services["versand"].Slots, ShouldEqual, 160)
 		So(len(kesslerRaab.Services["archiv"].Instances), ShouldEqual, 6)
@@ -38,7 +38,7 @@
 		g, err := Parse(text)
 		So(g, ShouldBeNil)
 		So(errors.Is(err, ErrInvalid), ShouldBeTrue)
-		var te *TextError
+		var te *ValidationError
 		So(errors.As(err, &te), ShouldBeTrue)
 		lines := map[int]bool{}
 		for _, p := range te.Problems {
--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -47,7 +47,7 @@
 		}
 		defer closer.Close()
 		for _, d := range deployments {
-			m, err := demo.Start(demo.Config{Text: d.text, Platform: d.platform, AnyPort: c.Bool("any-port"), Log: lg})
+			m, err := demo.Start(demo.Config{InitialConfig: d.text, Platform: d.platform, AnyPort: c.Bool("any-port"), Log: lg})
 			if err != nil {
 				return err
 			}
--- a/cmd/oatpin/experiment.go
+++ b/cmd/oatpin/experiment.go
@@ -36,7 +36,7 @@
 		series := map[string][]int64{}
 		for _, baseline := range []bool{false, true} {
 			s := demo.Slowdown{
-				Mesh:    demo.Config{Text: examples.Slowdown, Platform: "127.0.0.1:0", Baseline: baseline, Log: lg},
+				Mesh:    demo.Config{InitialConfig: examples.Slowdown, Platform: "127.0.0.1:0", Baseline: baseline, Log: lg},
 				Entries: []callgraph.Ref{{Service: "front", Operation: "write"}, {Service: "front", Operation: "read"}},
 				Deepest: "deep", Factor: c.Float64("factor"), Rate: c.Float64("rate"), Surge: c.Float64("surge"),
 				Warm: c.Duration("warm"), Slow: c.Duration("slow"), After: c.Duration("after"), Retries: c.Int("retries"),
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -100,7 +100,7 @@
 			return err
 		}
 		defer closer.Close()
-		p, err := configservice.New(configservice.Config{Text: text, Log: lg})
+		p, err := configservice.New(configservice.Config{InitialConfig: text, Log: lg})
 		if err != nil {
 			return err
 		}
--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		out := timeline.NewAsync(os.Stdout)
+		out := timeline.NewAsyncHandler(os.Stdout)
 		defer out.Close()
 		lg := (&log.Logger{Handler: out, Level: log.InfoLevel}).WithField("process", s.Name)
 		p, err := loadPolicies(path)
@@ -43,7 +43,7 @@
 		n, err := sidecar.New(sidecar.Config{
 			Name: s.Name, DC: s.DC, Service: s.Service, TargetAddr: s.Target, CallerAddr: s.Callers, PeerAddr: s.Peer,
 			ControlAddr: s.Control, Seeds: s.Seeds, ReadyAddr: s.Ready, MetricsAddr: s.Metrics,
-			Headers: platform.Headers, Tuning: tuning(s), Policies: p, ShutdownGrace: s.Grace, Directory: dir, Source: store, Log: lg,
+			Headers: platform.Headers, Tuning: tuning(s), Policies: p, ShutdownGrace: s.ShutdownGrace, Directory: dir, Source: store, Log: lg,
 		})
 		if err != nil {
 			return err
@@ -56,7 +56,7 @@
 }
 
 func loadSidecar(path string) (settings.Sidecar, error) {
-	s := settings.NewSidecar()
+	s := settings.DefaultSidecar()
 	err := settings.Load(path, "sidecar", &s)
 	return s, err
 }
@@ -72,7 +72,7 @@
 func tuning(s settings.Sidecar) sidecar.Tuning {
 	return sidecar.Tuning{
 		BodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
-		Retries:   budget.RetryWindowConfig{Span: s.RepeatWindow, Ratio: s.RepeatRatio, MinRetries: s.RepeatSlack},
+		Retries:   budget.RetryWindowConfig{Span: s.RetryWindow, Ratio: s.RetryRatio, MinRetries: s.MinRetries},
 	}
 }
 
@@ -103,6 +103,6 @@
 
 // withoutTuning returns the settings that only a restart applies.
 func withoutTuning(s settings.Sidecar) settings.Sidecar {
-	s.MemoryMB, s.RepeatRatio, s.RepeatSlack, s.RepeatWindow = 0, 0, 0, 0
+	s.MemoryMB, s.RetryRatio, s.MinRetries, s.RetryWindow = 0, 0, 0, 0
 	return s
 }
--- a/configservice/service.go
+++ b/configservice/server.go
@@ -21,28 +21,28 @@
 )
 
 const (
-	// ReadsPerSecond is the default rate limit for all readers together, in
+	// DefaultReadRate is the default rate limit for all readers together, in
 	// reads per second.
-	ReadsPerSecond = 2000
-	maxConfigBytes = 1 << 20
-	maxWait        = time.Minute
+	DefaultReadRate = 2000
+	maxConfigBytes  = 1 << 20
+	maxWait         = time.Minute
 )
 
 type (
 	// Mode is a response mode of the configuration service.
 	Mode string
 
-	// Config is the configuration of a Platform.
+	// Config is the configuration of a Server.
 	Config struct {
-		Text  []byte        // initial configuration; nil for none
-		VMLag time.Duration // delay until readers see a change of the VM list
-		Log   log.Interface
-		Reads float64 // rate limit in reads per second; 0 for ReadsPerSecond
+		InitialConfig []byte        // nil for none
+		VMLag         time.Duration // delay until readers see a change of the VM list
+		Log           log.Interface
+		ReadRate      float64 // rate limit in reads per second; 0 for DefaultReadRate
 	}
 
-	// Platform is a simulated configuration service. It is safe for concurrent
+	// Server is a simulated configuration service. It is safe for concurrent
 	// use.
-	Platform struct {
+	Server struct {
 		cfg     Config
 		log     log.Interface
 		limiter *rate.Limiter
@@ -56,83 +56,83 @@
 	}
 )
 
-// New returns a Platform. The error wraps callgraph.ErrInvalid if cfg.Text is
-// invalid.
-func New(cfg Config) (*Platform, error) {
-	if cfg.Reads == 0 {
-		cfg.Reads = ReadsPerSecond
+// New returns a Server. The error wraps callgraph.ErrInvalid if
+// cfg.InitialConfig is invalid.
+func New(cfg Config) (*Server, error) {
+	if cfg.ReadRate == 0 {
+		cfg.ReadRate = DefaultReadRate
 	}
-	p := &Platform{cfg: cfg, log: cfg.Log, mode: ModeUp, changed: make(chan struct{}),
-		limiter: rate.NewLimiter(rate.Limit(cfg.Reads), int(cfg.Reads/10)+1)}
-	if p.log == nil {
-		p.log = log.Log
+	s := &Server{cfg: cfg, log: cfg.Log, mode: ModeUp, changed: make(chan struct{}),
+		limiter: rate.NewLimiter(rate.Limit(cfg.ReadRate), int(cfg.ReadRate/10)+1)}
+	if s.log == nil {
+		s.log = log.Log
 	}
-	if cfg.Text != nil {
-		if _, err := p.Submit(cfg.Text); err != nil {
+	if cfg.InitialConfig != nil {
+		if _, err := s.Submit(cfg.InitialConfig); err != nil {
 			return nil, err
 		}
 	}
-	return p, nil
+	return s, nil
 }
 
 // Submit makes a configuration current if it is valid and newer than the
 // current one; otherwise the error wraps callgraph.ErrInvalid or
 // callgraph.ErrStale.
-func (p *Platform) Submit(text []byte) (callgraph.Version, error) {
+func (s *Server) Submit(text []byte) (callgraph.Version, error) {
 	g, err := callgraph.Parse(text)
 	if err != nil {
 		return 0, err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.current != nil && g.Version <= p.current.Version {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.current != nil && g.Version <= s.current.Version {
 		return 0, callgraph.ErrStale
 	}
-	g.Accepted = time.Now()
-	p.previous, p.current = p.current, g
-	close(p.changed)
-	p.changed = make(chan struct{})
-	p.log.WithField("version", g.Version).Info("config_accepted")
+	g.AcceptedAt = time.Now()
+	s.previous, s.current = s.current, g
+	close(s.changed)
+	s.changed = make(chan struct{})
+	s.log.WithField("version", g.Version).Info("config_accepted")
 	return g.Version, nil
 }
 
 // SetMode switches the response mode.
-func (p *Platform) SetMode(m Mode) {
-	p.mu.Lock()
-	p.mode = m
-	p.mu.Unlock()
-	p.log.WithField("mode", m).Info("platform_mode")
+func (s *Server) SetMode(m Mode) {
+	s.mu.Lock()
+	s.mode = m
+	s.mu.Unlock()
+	s.log.WithField("mode", m).Info("platform_mode")
 }
 
 // Handler returns the HTTP API of the service.
-func (p *Platform) Handler() http.Handler {
+func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/config", p.handleConfig)
-	mux.HandleFunc("GET /v1/vms", p.handleVMs)
-	mux.HandleFunc("POST /admin/config", p.handleSubmit)
-	mux.HandleFunc("POST /admin/mode", func(w http.ResponseWriter, r *http.Request) { p.SetMode(Mode(r.URL.Query().Get("mode"))) })
-	mux.HandleFunc("POST /admin/leaving", func(w http.ResponseWriter, r *http.Request) { p.SetLeaving(r.URL.Query().Get("instance")) })
+	mux.HandleFunc("GET /v1/config", s.handleConfig)
+	mux.HandleFunc("GET /v1/vms", s.handleVMs)
+	mux.HandleFunc("POST /admin/config", s.handleSubmit)
+	mux.HandleFunc("POST /admin/mode", func(w http.ResponseWriter, r *http.Request) { s.SetMode(Mode(r.URL.Query().Get("mode"))) })
+	mux.HandleFunc("POST /admin/leaving", func(w http.ResponseWriter, r *http.Request) { s.SetLeaving(r.URL.Query().Get("instance")) })
 	return mux
 }
 
 // handleConfig serves a configuration newer than the version in after=. It
 // blocks up to wait= for one and then responds with 304.
-func (p *Platform) handleConfig(w http.ResponseWriter, r *http.Request) {
-	after, wait, ok := p.admitWatch(w, r)
+func (s *Server) handleConfig(w http.ResponseWriter, r *http.Request) {
+	after, wait, ok := s.admitWatch(w, r)
 	if !ok {
 		return
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		g, mode, changed := p.view()
+		g, mode, changed := s.view()
 		if mode == ModeDown {
 			http.Error(w, "configuration service down", http.StatusServiceUnavailable)
 			return
 		}
 		if g != nil && uint64(g.Version) > after {
 			w.Header().Set("Oatpin-Config-Version", strconv.FormatUint(uint64(g.Version), 10))
-			w.Header().Set("Last-Modified", g.Accepted.UTC().Format(http.TimeFormat))
+			w.Header().Set("Last-Modified", g.AcceptedAt.UTC().Format(http.TimeFormat))
 			w.Write(g.Text)
 			return
 		}
@@ -149,8 +149,8 @@
 
 // admitWatch applies the rate limit to a read or watch and parses its
 // parameters. Over the limit it responds with 429 and ok is false.
-func (p *Platform) admitWatch(w http.ResponseWriter, r *http.Request) (after uint64, wait time.Duration, ok bool) {
-	if !p.limiter.Allow() {
+func (s *Server) admitWatch(w http.ResponseWriter, r *http.Request) (after uint64, wait time.Duration, ok bool) {
+	if !s.limiter.Allow() {
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "read rate exceeded", http.StatusTooManyRequests)
 		return 0, 0, false
@@ -162,22 +162,22 @@
 
 // view returns the configuration to serve, the mode and the channel that is
 // closed on a change.
-func (p *Platform) view() (*callgraph.Graph, Mode, chan struct{}) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.mode == ModeStale {
-		return p.previous, p.mode, p.changed
+func (s *Server) view() (*callgraph.Graph, Mode, chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.mode == ModeStale {
+		return s.previous, s.mode, s.changed
 	}
-	return p.current, p.mode, p.changed
+	return s.current, s.mode, s.changed
 }
 
-func (p *Platform) handleSubmit(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	v, err := p.Submit(text)
+	v, err := s.Submit(text)
 	switch {
 	case errors.Is(err, callgraph.ErrStale):
 		http.Error(w, err.Error(), http.StatusConflict)
--- a/configservice/vms.go
+++ b/configservice/vms.go
@@ -30,25 +30,25 @@
 
 // SetLeaving marks an instance as leaving; readers see the change after
 // Config.VMLag.
-func (p *Platform) SetLeaving(instance string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.vms = append(p.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visibleAt: time.Now().Add(p.cfg.VMLag)})
-	close(p.changed)
-	p.changed = make(chan struct{})
+func (s *Server) SetLeaving(instance string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.vms = append(s.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visibleAt: time.Now().Add(s.cfg.VMLag)})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // handleVMs serves the changes after the revision in after=. It blocks up to
 // wait= for a visible change and then responds with 304.
-func (p *Platform) handleVMs(w http.ResponseWriter, r *http.Request) {
-	after, wait, ok := p.admitWatch(w, r)
+func (s *Server) handleVMs(w http.ResponseWriter, r *http.Request) {
+	after, wait, ok := s.admitWatch(w, r)
 	if !ok {
 		return
 	}
 	deadline := time.Now().Add(wait)
 	for {
-		list, next, changed := p.visibleVMs(after)
-		if _, mode, _ := p.view(); mode == ModeDown {
+		list, next, changed := s.visibleVMs(after)
+		if _, mode, _ := s.view(); mode == ModeDown {
 			http.Error(w, "VM list down", http.StatusServiceUnavailable)
 			return
 		}
@@ -78,12 +78,12 @@
 // the next one becomes visible (zero for none), and the channel that is closed
 // on a change. Revision 0 and unknown revisions, such as from before a restart
 // of the service, get the full list; revisions start at 1.
-func (p *Platform) visibleVMs(after uint64) (VMList, time.Time, chan struct{}) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (s *Server) visibleVMs(after uint64) (VMList, time.Time, chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
 	n := 0
-	for n < len(p.vms) && !p.vms[n].visibleAt.After(now) {
+	for n < len(s.vms) && !s.vms[n].visibleAt.After(now) {
 		n++
 	}
 	list := VMList{Revision: uint64(n) + 1}
@@ -93,12 +93,12 @@
 	} else {
 		from = int(after - 1)
 	}
-	for _, c := range p.vms[from:n] {
+	for _, c := range s.vms[from:n] {
 		list.VMs = append(list.VMs, c.VM)
 	}
 	var next time.Time
-	if n < len(p.vms) {
-		next = p.vms[n].visibleAt
+	if n < len(s.vms) {
+		next = s.vms[n].visibleAt
 	}
-	return list, next, p.changed
+	return list, next, s.changed
 }
--- a/configservice/vms_test.go
+++ b/configservice/vms_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// readVMs reads the VM list after a revision, blocking up to wait.
-func readVMs(p *Platform, after, wait string) (int, VMList) {
+// readVMs reads the VM list of s after a revision, blocking up to wait.
+func readVMs(s *Server, after, wait string) (int, VMList) {
 	w := httptest.NewRecorder()
-	p.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/vms?after="+after+"&wait="+wait, nil))
+	s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/vms?after="+after+"&wait="+wait, nil))
 	var list VMList
 	json.Unmarshal(w.Body.Bytes(), &list)
 	return w.Code, list
@@ -24,25 +24,25 @@
 // reader with an unknown revision must get the full list.
 func TestWatchVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, err := New(Config{VMLag: 3 * time.Second})
+		s, err := New(Config{VMLag: 3 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
 		Convey("The first read is full, a watch returns when the change is visible", t, func() {
-			_, list := readVMs(p, "0", "20s")
+			_, list := readVMs(s, "0", "20s")
 			So(list, ShouldResemble, VMList{Revision: 1, Full: true})
 			start := time.Now()
-			go func() { time.Sleep(time.Second); p.SetLeaving("archiv-2") }()
-			_, list = readVMs(p, "1", "20s")
+			go func() { time.Sleep(time.Second); s.SetLeaving("archiv-2") }()
+			_, list = readVMs(s, "1", "20s")
 			So(list, ShouldResemble, VMList{Revision: 2, VMs: []VM{{"archiv-2", true}}})
 			So(time.Since(start), ShouldEqual, 4*time.Second)
 		})
 		Convey("A watch without a change returns 304", t, func() {
-			code, _ := readVMs(p, "2", "20s")
+			code, _ := readVMs(s, "2", "20s")
 			So(code, ShouldEqual, http.StatusNotModified)
 		})
 		Convey("An unknown revision gets the full list", t, func() {
-			_, list := readVMs(p, "9", "20s")
+			_, list := readVMs(s, "9", "20s")
 			So(list, ShouldResemble, VMList{Revision: 2, Full: true, VMs: []VM{{"archiv-2", true}}})
 		})
 	})
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -21,8 +21,8 @@
 type (
 	// Config configures a Mesh.
 	Config struct {
-		Text     []byte // configuration of the deployment, in INI format
-		Platform string // host:port to listen on for the simulated platform; port 0 for any
+		InitialConfig []byte // configuration of the deployment, in INI format
+		Platform      string // host:port to listen on for the simulated platform; port 0 for any
 		// AnyPort replaces the configured addresses of every instance by free
 		// loopback ports, so that several meshes can run at the same time.
 		AnyPort bool
@@ -37,7 +37,7 @@
 	// Mesh is a running deployment.
 	Mesh struct {
 		Graph    *callgraph.Graph
-		Platform *configservice.Platform
+		Platform *configservice.Server
 		Nodes    map[string]*node.Node
 		Targets  map[string]*target.Target
 		// PlatformURL is the base URL of the simulated platform.
@@ -47,8 +47,8 @@
 	}
 )
 
-// Start starts the platform and every target and node of cfg.Text, and waits
-// until all nodes are ready. On an error, it stops what it has started.
+// Start starts the platform and every target and node of cfg.InitialConfig, and
+// waits until all nodes are ready. On an error, it stops what it has started.
 func Start(cfg Config) (*Mesh, error) {
 	if cfg.Log == nil {
 		cfg.Log = log.Log
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	m := &Mesh{Graph: g, Nodes: map[string]*node.Node{}, Targets: map[string]*target.Target{}, targetURLs: map[string]string{}}
-	m.Platform, err = configservice.New(configservice.Config{Text: text, Log: cfg.Log.WithField("process", "platform")})
+	m.Platform, err = configservice.New(configservice.Config{InitialConfig: text, Log: cfg.Log.WithField("process", "platform")})
 	if err == nil {
 		var platformAddr string
 		platformAddr, err = m.listenAndServe(cfg.Platform, m.Platform.Handler())
@@ -73,7 +73,7 @@
 		closeListeners(listeners)
 		return nil, err
 	}
-	for _, name := range g.Names() {
+	for _, name := range g.ServiceNames() {
 		for _, in := range g.Services[name].Instances {
 			pair := listeners[in.Name]
 			delete(listeners, in.Name)
@@ -109,18 +109,18 @@
 // listenNodes opens the listeners of all nodes before any target listens:
 // otherwise, the kernel could assign a target a port that is configured for a
 // node that has not started yet. It returns the configuration in use, which
-// differs from cfg.Text with cfg.AnyPort, and the HTTP and peer listeners by
-// instance name.
+// differs from cfg.InitialConfig with cfg.AnyPort, and the HTTP and peer
+// listeners by instance name.
 func listenNodes(cfg Config) ([]byte, map[string][2]net.Listener, error) {
 	if cfg.AnyPort {
-		return assignPorts(cfg.Text)
+		return assignPorts(cfg.InitialConfig)
 	}
-	g, err := callgraph.Parse(cfg.Text)
+	g, err := callgraph.Parse(cfg.InitialConfig)
 	if err != nil {
 		return nil, nil, err
 	}
 	listeners := map[string][2]net.Listener{}
-	for _, name := range g.Names() {
+	for _, name := range g.ServiceNames() {
 		for _, in := range g.Services[name].Instances {
 			var pair [2]net.Listener
 			for i, addr := range []string{in.HTTP, in.Peer} {
@@ -133,7 +133,7 @@
 			listeners[in.Name] = pair
 		}
 	}
-	return cfg.Text, listeners, nil
+	return cfg.InitialConfig, listeners, nil
 }
 
 // startInstance starts the simulated target of an instance on a free loopback
--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -93,7 +93,7 @@
 // second time in another data centre.
 func TestPartitionedDCServesLocalCalls(t *testing.T) {
 	c := &partition{dc: "halle-nord", dcByAddr: map[string]callgraph.DC{}}
-	m := startMeshWith(t, demo.Config{Text: examples.KesslerRaab, Dial: c.dial})
+	m := startMeshWith(t, demo.Config{InitialConfig: examples.KesslerRaab, Dial: c.dial})
 	for _, s := range m.Graph.Services {
 		for _, in := range s.Instances {
 			c.dcByAddr[in.Peer] = in.DC
--- a/node/config.go
+++ b/node/config.go
@@ -147,7 +147,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "parse configuration from %s", url)
 	}
-	g.Accepted = acceptedFromHeader(resp.Header)
+	g.AcceptedAt = acceptedFromHeader(resp.Header)
 	n.Apply(g)
 	return nil
 }
--- a/node/control_bench_test.go
+++ b/node/control_bench_test.go
@@ -33,7 +33,7 @@
 // TCP overhead, of control messages without a change: one configuration
 // exchange between nodes, and one watch of the VM list at the platform.
 func BenchmarkControlBytes(b *testing.B) {
-	m := startMeshWith(b, demo.Config{Text: examples.KesslerRaab})
+	m := startMeshWith(b, demo.Config{InitialConfig: examples.KesslerRaab})
 	var counter atomic.Int64
 	client := &http.Client{Transport: &http.Transport{Dial: func(network, addr string) (net.Conn, error) {
 		nc, err := net.Dial(network, addr)
--- a/node/fake_test.go
+++ b/node/fake_test.go
@@ -111,7 +111,7 @@
 func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
 // startNode runs the node of one instance of g with the given target URL and
-// a platform stand-in, and returns the base URL of the node.
+// a simulated platform, and returns the base URL of the node.
 func startNode(t testing.TB, g *callgraph.Graph, instance, target string) string {
 	t.Helper()
 	return startNodeWith(t, g, node.Config{Settings: settings.Node{Instance: instance, Target: target}})
@@ -131,7 +131,7 @@
 			t.Fatal(err)
 		}
 	}
-	p, err := configservice.New(configservice.Config{Text: g.Text, Log: discardLogger()})
+	p, err := configservice.New(configservice.Config{InitialConfig: g.Text, Log: discardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -108,7 +108,7 @@
 	n.onPeerVersion(r.URL.Query().Get("from"), after)
 	h := w.Header()
 	h.Set("Oatpin-Config-Version", strconv.FormatUint(uint64(g.Version), 10))
-	setAcceptedHeader(h, g.Accepted)
+	setAcceptedHeader(h, g.AcceptedAt)
 	if uint64(g.Version) <= after {
 		w.WriteHeader(http.StatusNotModified)
 		return
--- a/node/http.go
+++ b/node/http.go
@@ -105,8 +105,8 @@
 	if r.Remaining <= 0 || r.Remaining > op.Deadline {
 		r.Remaining = op.Deadline
 	}
-	if r.RetryBudget < 0 || r.RetryBudget > g.Retries {
-		r.RetryBudget = g.Retries
+	if r.RetryBudget < 0 || r.RetryBudget > g.RetryBudget {
+		r.RetryBudget = g.RetryBudget
 	}
 	if r.Key == "" {
 		r.Key = call.NewKey(string(n.cfg.Settings.DC))
--- a/node/lost_answer_test.go
+++ b/node/lost_answer_test.go
@@ -28,7 +28,7 @@
 		for _, r := range sent {
 			spent += r.RetryBudget
 		}
-		So(spent, ShouldBeLessThanOrEqualTo, g.Retries)
+		So(spent, ShouldBeLessThanOrEqualTo, g.RetryBudget)
 	})
 }
 
--- a/node/outbound_call.go
+++ b/node/outbound_call.go
@@ -36,7 +36,7 @@
 // it could never be retried.
 func (s *outboundCall) attemptBudget() int {
 	left := s.lease - s.spent
-	if s.op.Retries > 0 && left > 1 {
+	if s.op.MaxRetries > 0 && left > 1 {
 		return left - 1
 	}
 	return left
--- a/node/publication_test.go
+++ b/node/publication_test.go
@@ -18,7 +18,7 @@
 // and stops it when the test ends.
 func startMesh(t testing.TB, text []byte) *demo.Mesh {
 	t.Helper()
-	return startMeshWith(t, demo.Config{Text: text})
+	return startMeshWith(t, demo.Config{InitialConfig: text})
 }
 
 // startMeshWith is like startMesh, for the deployment that cfg describes.
@@ -121,6 +121,6 @@
 		// or above it, and each arrival above s8 calls s8 once, so the
 		// retries of the request are the arrivals at s8 minus one.
 		arrivals := m.Targets["s8-1"].Arrivals() + m.Targets["s8-2"].Arrivals()
-		So(arrivals-1, ShouldBeLessThanOrEqualTo, m.Graph.Retries)
+		So(arrivals-1, ShouldBeLessThanOrEqualTo, m.Graph.RetryBudget)
 	})
 }
--- a/node/retry_policy.go
+++ b/node/retry_policy.go
@@ -22,7 +22,7 @@
 )
 
 func (budgetedPolicy) shouldRetry(a call.Answer, s *outboundCall) bool {
-	return s.retryable(a) && s.hopRetries < s.op.Retries && s.spent < s.lease
+	return s.retryable(a) && s.hopRetries < s.op.MaxRetries && s.spent < s.lease
 }
 
 func (baselinePolicy) shouldRetry(a call.Answer, s *outboundCall) bool {
--- a/owner/arbiter.go
+++ b/owner/arbiter.go
@@ -83,7 +83,7 @@
 	now := time.Now()
 	appliedAt := now
 	if len(a.graphs) == 0 {
-		appliedAt = g.Accepted
+		appliedAt = g.AcceptedAt
 		if g.Version == firstVersion {
 			appliedAt = time.Time{}
 		}
--- a/owner/arbiter_test.go
+++ b/owner/arbiter_test.go
@@ -14,7 +14,7 @@
 )
 
 func newGraph(version callgraph.Version, instances ...callgraph.Instance) *callgraph.Graph {
-	return &callgraph.Graph{Version: version, Accepted: time.Now(),
+	return &callgraph.Graph{Version: version, AcceptedAt: time.Now(),
 		Services: map[string]*callgraph.Service{"versand": {Name: "versand", Instances: instances}}}
 }
 
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -71,7 +71,7 @@
 }
 
 func (f *fleet) submit(instances []callgraph.Instance) {
-	f.graphs = append(f.graphs, &callgraph.Graph{Version: callgraph.Version(len(f.graphs) + 1), Accepted: time.Now(),
+	f.graphs = append(f.graphs, &callgraph.Graph{Version: callgraph.Version(len(f.graphs) + 1), AcceptedAt: time.Now(),
 		Services: map[string]*callgraph.Service{"versand": {Name: "versand", Instances: slices.Clone(instances)}}})
 }
 
@@ -163,7 +163,7 @@
 	f.each(func(name string, p *process) {
 		newest := f.graphs[len(f.graphs)-1]
 		for _, g := range f.graphs {
-			if time.Since(g.Accepted) >= graphLag {
+			if time.Since(g.AcceptedAt) >= graphLag {
 				p.apply(g)
 			}
 		}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -151,10 +151,10 @@
 			require("seed", seed, isHostPort)
 		}
 		requireMin("memory_mb", s.MemoryMB > 0)
-		requireMin("grace", s.Grace > 0)
-		requireMin("repeat_window", s.RepeatWindow > 0)
-		requireMin("repeat_ratio", s.RepeatRatio >= 0)
-		requireMin("repeat_slack", s.RepeatSlack >= 0)
+		requireMin("grace", s.ShutdownGrace > 0)
+		requireMin("repeat_window", s.RetryWindow > 0)
+		requireMin("repeat_ratio", s.RetryRatio >= 0)
+		requireMin("repeat_slack", s.MinRetries >= 0)
 	case *Target:
 		require("service", s.Service, anyValue)
 		require("http", s.HTTP, isHostPort)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -48,13 +48,13 @@
 		path := filepath.Join(dir, "s.ini")
 		good := "[sidecar]\nname=a\ndc=d\nservice=s\ntarget=h:1\ncallers=h:2\npeer=h:3\nready=h:4\nmetrics=h:5\nstore=h:6\ncontrol=\nseeds=\n"
 		So(os.WriteFile(path, []byte(good), 0o600), ShouldBeNil)
-		s := NewSidecar()
+		s := DefaultSidecar()
 		So(Load(path, "sidecar", &s), ShouldBeNil)
-		So(s.Grace, ShouldEqual, defaultGrace)
+		So(s.ShutdownGrace, ShouldEqual, defaultShutdownGrace)
 		So(s.Seeds, ShouldBeEmpty)
 		bad := strings.Replace(good, "target=h:1\n", "target=h\n", 1) + "memory_mb=0\nrepeat_ratio=-1\n"
 		So(os.WriteFile(path, []byte(strings.Replace(bad, "store=h:6\n", "", 1)), 0o600), ShouldBeNil)
-		s = NewSidecar()
+		s = DefaultSidecar()
 		err := Load(path, "sidecar", &s)
 		So(errors.Is(err, ErrInvalid), ShouldBeTrue)
 		for _, part := range []string{"target h is not well formed", "store is missing", "memory_mb", "repeat_ratio"} {
--- a/settings/sidecar.go
+++ b/settings/sidecar.go
@@ -9,19 +9,19 @@
 // Defaults of the [sidecar] section.
 const (
 	defaultMemoryMB = 128
-	// defaultGrace must not exceed the time deployments leave between SIGTERM
-	// and SIGKILL.
-	defaultGrace        = 6 * time.Second
-	defaultRepeatWindow = 10 * time.Second
-	// defaultRepeatRatio is a quarter of the allowed 0.2 of all requests,
-	// because repeats at up to four call levels add up.
-	defaultRepeatRatio = 0.05
-	defaultRepeatSlack = 2
+	// defaultShutdownGrace must not exceed the time deployments leave between
+	// SIGTERM and SIGKILL.
+	defaultShutdownGrace = 6 * time.Second
+	defaultRetryWindow   = 10 * time.Second
+	// defaultRetryRatio is a quarter of the allowed 0.2 of all requests,
+	// because retries at up to four call levels add up.
+	defaultRetryRatio = 0.05
+	defaultMinRetries = 2
 )
 
-// NewSidecar returns a Sidecar with default values.
-func NewSidecar() Sidecar {
-	return Sidecar{MemoryMB: defaultMemoryMB, Grace: defaultGrace, RepeatWindow: defaultRepeatWindow, RepeatRatio: defaultRepeatRatio, RepeatSlack: defaultRepeatSlack}
+// DefaultSidecar returns a Sidecar with default values.
+func DefaultSidecar() Sidecar {
+	return Sidecar{MemoryMB: defaultMemoryMB, ShutdownGrace: defaultShutdownGrace, RetryWindow: defaultRetryWindow, RetryRatio: defaultRetryRatio, MinRetries: defaultMinRetries}
 }
 
 // Sidecar is the [sidecar] section: the node of one target VM whose callers
@@ -39,12 +39,12 @@
 	Metrics  string       `ini:"metrics"`   // host:port of the metrics endpoint
 	Store    string       `ini:"store"`     // host:port of the metadata store
 	MemoryMB int          `ini:"memory_mb"` // memory limit of the process
-	// Grace bounds the shutdown of the process after SIGTERM.
-	Grace time.Duration `ini:"grace"`
-	// RepeatRatio and RepeatSlack bound, for all nodes together, the requests
-	// resent to another instance within a sliding RepeatWindow: a share of
-	// all requests plus a constant.
-	RepeatRatio  float64       `ini:"repeat_ratio"`
-	RepeatSlack  float64       `ini:"repeat_slack"`
-	RepeatWindow time.Duration `ini:"repeat_window"`
+	// ShutdownGrace bounds the shutdown of the process after SIGTERM.
+	ShutdownGrace time.Duration `ini:"grace"`
+	// RetryRatio and MinRetries bound, for all nodes together, the requests
+	// resent to another instance within a sliding RetryWindow: a share of all
+	// requests plus a constant.
+	RetryRatio  float64       `ini:"repeat_ratio"`
+	MinRetries  float64       `ini:"repeat_slack"`
+	RetryWindow time.Duration `ini:"repeat_window"`
 }
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -250,7 +250,7 @@
 	if ref.code == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", n.cfg.Headers.AuthScheme)
 	}
-	n.decisions.Note("request_refused", func() log.Fields {
+	n.decisions.Log("request_refused", func() log.Fields {
 		return log.Fields{"id": id, "code": ref.code, "cause": ref.cause, "account": accountName(ref.account), "why": ref.reason, "come_back_ms": ref.retryAfter.Milliseconds(), "routes": n.routesVersion(), "path": r.URL.Path}
 	})
 	writeError(w, n.cfg.Headers, call.RequestID(id), ref.code, ref.retryAfter, ref.reason)
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -72,11 +72,11 @@
 		}
 		delta, err := n.Since(context.Background(), membership.Addr(p.Addr), from, 0)
 		if err != nil {
-			n.decisions.Note("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
+			n.decisions.Log("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
 			return
 		}
 		if n.dir.ApplyDelta(delta) {
-			n.decisions.Note("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
+			n.decisions.Log("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
 		}
 	}()
 }
@@ -144,7 +144,7 @@
 // decoded.
 func (n *Node) malformedAnswer(r call.Request, err error) call.Answer {
 	n.stats.countDecodeError()
-	n.decisions.Note("question_not_understood", func() log.Fields {
+	n.decisions.Log("question_not_understood", func() log.Fields {
 		return log.Fields{"operation": r.Operation, "error": err.Error()}
 	})
 	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "not understood: " + err.Error()}
--- a/sidecar/exit.go
+++ b/sidecar/exit.go
@@ -64,7 +64,7 @@
 		n.stats.countTargetExit()
 		n.log.WithFields(log.Fields{"instance": r.To, "running": n.gate.Load().InFlight}).Warn("target_ended")
 	}
-	n.decisions.Note("ended_under_request", func() log.Fields {
+	n.decisions.Log("ended_under_request", func() log.Fields {
 		names := make([]string, 0, len(r.HTTP.Header))
 		for _, f := range r.HTTP.Header {
 			names = append(names, f.Name)
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -129,7 +129,7 @@
 		n.thresholds.RecordThreshold(q.route.Name, a.Load.Threshold, a.Load.Bottleneck)
 	}
 	if a.Status != call.OK {
-		n.decisions.Note("try_ended", func() log.Fields {
+		n.decisions.Log("try_ended", func() log.Fields {
 			f := log.Fields{"id": q.ID, "fingerprint": q.quarantine.fingerprint.String(), "route": q.route.Name, "service": q.Service, "instance": in.ID, "dc": in.DC, "revision": in.Revision,
 				"status": a.Status, "why": a.Reason, "reached": a.ReachedTarget, "took_ms": time.Since(sent).Milliseconds(), "try": len(att.tried)}
 			if a.HTTP != nil {
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -80,7 +80,7 @@
 	Node struct {
 		cfg          Config
 		log          log.Interface
-		decisions    *timeline.Decisions
+		decisions    *timeline.LimitedLogger
 		dir          *directory.Directory
 		balancer     *balance.Balancer
 		gate         *slots.Gate
@@ -146,7 +146,7 @@
 	n := &Node{
 		cfg:          cfg,
 		log:          cfg.Log,
-		decisions:    timeline.NewDecisions(cfg.Log, cfg.Policies.decisionLogRate()),
+		decisions:    timeline.NewLimitedLogger(cfg.Log, cfg.Policies.decisionLogRate()),
 		dir:          cfg.Directory,
 		balancer:     balance.New(cfg.Policies.balancer(cfg.DC)),
 		gate:         slots.NewGate(initialSlots, cfg.Policies.queueOrder()),
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -97,4 +97,6 @@
 	return choose(p.Retries, w, budget.RetryWindowConfig{Span: w.Span})
 }
 
-func (p Policies) decisionLogRate() int { return choose(p.DecisionLog, timeline.LinesPerSecond, 0) }
+func (p Policies) decisionLogRate() int {
+	return choose(p.DecisionLog, timeline.DefaultLinesPerSecond, 0)
+}
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -85,7 +85,7 @@
 		case <-time.After(reportRetryDelay):
 		}
 	}
-	n.decisions.Note("ends_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
+	n.decisions.Log("ends_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 }
 
 func (n *Node) sendReport(addr membership.Addr, body []byte) error {
@@ -159,7 +159,7 @@
 	report, err := decodeReport(update)
 	if err != nil {
 		n.stats.countDecodeError()
-		n.decisions.Note("news_not_understood", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
+		n.decisions.Log("news_not_understood", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 		return
 	}
 	n.quarantine.Merge(report)
--- a/sidecar/response.go
+++ b/sidecar/response.go
@@ -25,7 +25,7 @@
 		}
 		w.WriteHeader(a.HTTP.Code)
 		if _, err := w.Write(a.Body); err != nil {
-			n.decisions.Note("answer_not_taken", func() log.Fields { return log.Fields{"id": q.ID, "error": err.Error()} })
+			n.decisions.Log("answer_not_taken", func() log.Fields { return log.Fields{"id": q.ID, "error": err.Error()} })
 		}
 		return
 	}
@@ -37,7 +37,7 @@
 		// The deadline passed here or, by peerMargin earlier, at the peer.
 		code = http.StatusGatewayTimeout
 	}
-	n.decisions.Note("request_ended", func() log.Fields {
+	n.decisions.Log("request_ended", func() log.Fields {
 		return log.Fields{"id": q.ID, "route": q.route.Name, "service": q.Service, "status": a.Status, "code": code, "why": a.Reason,
 			"begun": q.HTTP.Child, "took_ms": time.Since(q.received).Milliseconds(), "come_back_ms": a.RetryAfter.Milliseconds(), "routes": n.routesVersion()}
 	})
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -24,7 +24,7 @@
 		Self: account.Source(n.member.Self()), DC: account.Source(n.cfg.DC),
 		Registry: n.accountRegistry, Collectors: n.collectors, Send: n.reportUsage,
 		OnError: func(addr account.Source, err error) {
-			n.decisions.Note("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
+			n.decisions.Log("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 		},
 	}, n.limiter)
 }
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -76,7 +76,7 @@
 	for {
 		switch vouched, err := n.requestVouch(in); {
 		case err != nil:
-			n.decisions.Note("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
+			n.decisions.Log("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
 		case vouched:
 			n.dir.ConfirmUnlisted(in.Start(), time.Now().Add(vouch.TTL))
 		default:
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -36,7 +36,7 @@
 		bin   string
 		dir   string
 		ports struct{ peer, target, callers, ready, metrics, store int }
-		store *platform.StandIn
+		store *platform.FakeStore
 		srv   *http.Server
 		vms   []*vm
 		*callers
@@ -77,7 +77,7 @@
 // startDeployment starts six nodes of two services in two data centres, and the
 // callers.
 func startDeployment(t *testing.T, bin string, seed uint64) *deployment {
-	d := &deployment{t: t, bin: bin, dir: t.TempDir(), store: platform.NewStandIn()}
+	d := &deployment{t: t, bin: bin, dir: t.TempDir(), store: platform.NewFakeStore()}
 	d.store.Services = []directory.Service{{Name: "archiv", HealthPath: healthPath}, {Name: "versand", HealthPath: healthPath}}
 	for _, port := range []*int{&d.ports.peer, &d.ports.target, &d.ports.callers, &d.ports.ready, &d.ports.metrics, &d.ports.store} {
 		*port = freePort(t)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -133,7 +133,7 @@
 func writeForeignEntries(d *deployment, v *vm, r *rand.Rand) {
 	for i, text := range []string{"\xff", `{"Address":"` + v.instance.Addr + `"}`, `{"Address":"` + v.instance.Addr +
 		`","Info":{"Service":"nobody","Version":"v1","Zone":"nord","Slots":1},"Status":{"State":"ready","Seq":1,"ColdLeft":"0ms"}}`} {
-		d.store.PutForeign(directory.InstanceID(fmt.Sprintf("foreign-%d-%d", r.IntN(5), i)), text)
+		d.store.PutRawEntry(directory.InstanceID(fmt.Sprintf("foreign-%d-%d", r.IntN(5), i)), text)
 	}
 }
 
@@ -159,5 +159,5 @@
 	v.storeProxy.Reset()
 }
 
-func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.ForgetHistory() }
+func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.Compact() }
 func publishRoutes(d *deployment, _ *vm, _ *rand.Rand) { d.publishRoutes() }
--- a/target/target.go
+++ b/target/target.go
@@ -196,12 +196,12 @@
 		}
 		out.WriteString(" <" + string(body) + ">")
 	}
-	cost := time.Duration(float64(op.Cost) * float64(t.slowdownPercent.Load()) / 100)
+	serviceTime := time.Duration(float64(op.ServiceTime) * float64(t.slowdownPercent.Load()) / 100)
 	if time.Since(t.started) < t.cfg.ColdStart {
-		cost *= 3
+		serviceTime *= 3
 	}
 	select {
-	case <-time.After(cost):
+	case <-time.After(serviceTime):
 	case <-ctx.Done():
 		return []byte("cancelled"), call.Failed, ""
 	}
--- a/timeline/logging.go
+++ b/timeline/logging.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// LinesPerSecond is the default limit on lines per second and event name.
-	// Under overload every request causes an event.
-	LinesPerSecond = 40
+	// DefaultLinesPerSecond is the default limit on lines per second and event
+	// name. Under overload every request causes an event.
+	DefaultLinesPerSecond = 40
 	// queueSize is the number of lines buffered for a slow reader.
 	queueSize = 1024
 	// flushTimeout bounds how long Close waits for a slow reader.
@@ -21,10 +21,10 @@
 )
 
 type (
-	// Async is a log handler that writes JSON lines on a separate goroutine.
-	// If the reader is slow it drops and counts lines instead of blocking.
-	// It is safe for concurrent use.
-	Async struct {
+	// AsyncHandler is a log handler that writes JSON lines on a separate
+	// goroutine. If the reader is slow it drops and counts lines instead of
+	// blocking. It is safe for concurrent use.
+	AsyncHandler struct {
 		lines   chan *log.Entry
 		out     log.Handler
 		dropped atomic.Int64
@@ -33,9 +33,9 @@
 		once    sync.Once
 	}
 
-	// Decisions logs events with a limit on lines per second and event name.
-	// It is safe for concurrent use.
-	Decisions struct {
+	// LimitedLogger logs events with a limit on lines per second and event
+	// name. It is safe for concurrent use.
+	LimitedLogger struct {
 		log    log.Interface
 		limit  int // lines per second and event name
 		mu     sync.Mutex
@@ -50,69 +50,69 @@
 	}
 )
 
-// NewAsync returns an Async that writes to w.
-func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan *log.Entry, queueSize), out: jsonlog.New(w), stop: make(chan struct{}), done: make(chan struct{})}
-	go a.run()
-	return a
+// NewAsyncHandler returns an AsyncHandler that writes to w.
+func NewAsyncHandler(w io.Writer) *AsyncHandler {
+	h := &AsyncHandler{lines: make(chan *log.Entry, queueSize), out: jsonlog.New(w), stop: make(chan struct{}), done: make(chan struct{})}
+	go h.run()
+	return h
 }
 
 // HandleLog queues e. It never blocks and always returns nil.
-func (a *Async) HandleLog(e *log.Entry) error {
+func (h *AsyncHandler) HandleLog(e *log.Entry) error {
 	select {
-	case a.lines <- e:
+	case h.lines <- e:
 	default:
-		a.dropped.Add(1)
+		h.dropped.Add(1)
 	}
 	return nil
 }
 
 // Dropped returns the number of lines lost to a full queue or a write error.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (h *AsyncHandler) Dropped() int64 { return h.dropped.Load() }
 
 // Close writes the queued lines, giving up after flushTimeout. It always
 // returns nil and may be called more than once.
-func (a *Async) Close() error {
-	a.once.Do(func() { close(a.stop) })
+func (h *AsyncHandler) Close() error {
+	h.once.Do(func() { close(h.stop) })
 	select {
-	case <-a.done:
+	case <-h.done:
 	case <-time.After(flushTimeout):
 	}
 	return nil
 }
 
-func (a *Async) run() {
-	defer close(a.done)
+func (h *AsyncHandler) run() {
+	defer close(h.done)
 	for {
 		select {
-		case e := <-a.lines:
-			a.writeEntry(e)
-		case <-a.stop:
-			for len(a.lines) > 0 {
-				a.writeEntry(<-a.lines)
+		case e := <-h.lines:
+			h.writeEntry(e)
+		case <-h.stop:
+			for len(h.lines) > 0 {
+				h.writeEntry(<-h.lines)
 			}
 			return
 		}
 	}
 }
 
-func (a *Async) writeEntry(e *log.Entry) {
-	if a.out.HandleLog(e) != nil {
-		a.dropped.Add(1)
+func (h *AsyncHandler) writeEntry(e *log.Entry) {
+	if h.out.HandleLog(e) != nil {
+		h.dropped.Add(1)
 	}
 }
 
-// NewDecisions returns a Decisions that writes to l, at most limit lines per
-// second and event name.
-func NewDecisions(l log.Interface, limit int) *Decisions {
-	return &Decisions{log: l, limit: limit, counts: map[string]*eventCount{}}
+// NewLimitedLogger returns a LimitedLogger that writes to l, at most limit
+// lines per second and event name.
+func NewLimitedLogger(l log.Interface, limit int) *LimitedLogger {
+	return &LimitedLogger{log: l, limit: limit, counts: map[string]*eventCount{}}
 }
 
-// Note logs an event unless its limit for the current second is reached;
+// Log logs an event unless its limit for the current second is reached;
 // fields is called only for events that are logged. The first line of a later
 // second has the number of suppressed lines in the field left_out.
-func (d *Decisions) Note(name string, fields func() log.Fields) {
-	suppressed, ok := d.allow(name, time.Now().Unix())
+func (l *LimitedLogger) Log(name string, fields func() log.Fields) {
+	suppressed, ok := l.allow(name, time.Now().Unix())
 	if !ok {
 		return
 	}
@@ -120,24 +120,24 @@
 	if suppressed > 0 {
 		f["left_out"] = suppressed
 	}
-	d.log.WithFields(f).Info(name)
+	l.log.WithFields(f).Info(name)
 }
 
 // allow reports whether a line may be written and, on the first line of a
 // second, how many were suppressed before.
-func (d *Decisions) allow(name string, second int64) (suppressed int, ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c := d.counts[name]
+func (l *LimitedLogger) allow(name string, second int64) (suppressed int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.counts[name]
 	if c == nil {
 		c = &eventCount{}
-		d.counts[name] = c
+		l.counts[name] = c
 	}
 	if c.second != second {
 		suppressed = c.suppressed
 		*c = eventCount{second: second}
 	}
-	if c.written >= d.limit {
+	if c.written >= l.limit {
 		c.suppressed++
 		return 0, false
 	}
--- a/timeline/logging_test.go
+++ b/timeline/logging_test.go
@@ -32,7 +32,7 @@
 	Convey("Logging does not block, drops are counted and queued lines are written", t, func() {
 		w := &blockedWriter{}
 		w.mu.Lock()
-		a := NewAsync(w)
+		a := NewAsyncHandler(w)
 		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
 		began := time.Now()
 		for range 3 * queueSize {
@@ -51,7 +51,7 @@
 	Convey("Close gives up after flushTimeout, also with a full queue", t, func() {
 		r, w := io.Pipe()
 		defer r.Close()
-		a := NewAsync(w)
+		a := NewAsyncHandler(w)
 		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
 		for range 2 * queueSize {
 			l.Info("line")
@@ -68,32 +68,33 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Lines over the limit are suppressed and counted per event name", t, func() {
 			lines := memory.New()
-			d := NewDecisions(&log.Logger{Handler: lines, Level: log.InfoLevel}, LinesPerSecond)
+			d := NewLimitedLogger(&log.Logger{Handler: lines, Level: log.InfoLevel}, DefaultLinesPerSecond)
 			built := 0
 			note := func(kind string) {
-				d.Note(kind, func() log.Fields { built++; return log.Fields{"id": "x"} })
+				d.Log(kind, func() log.Fields { built++; return log.Fields{"id": "x"} })
 			}
 			for range 1000 {
 				note("refused")
 			}
 			note("ended")
-			So(len(lines.Entries), ShouldEqual, LinesPerSecond+1)
-			So(built, ShouldEqual, LinesPerSecond+1)
+			So(len(lines.Entries), ShouldEqual, DefaultLinesPerSecond+1)
+			So(built, ShouldEqual, DefaultLinesPerSecond+1)
 			time.Sleep(time.Second)
 			note("refused")
 			last := lines.Entries[len(lines.Entries)-1]
 			So(last.Message, ShouldEqual, "refused")
-			So(last.Fields["left_out"], ShouldEqual, 1000-LinesPerSecond)
+			So(last.Fields["left_out"], ShouldEqual, 1000-DefaultLinesPerSecond)
 		})
 	})
 }
 
-// BenchmarkNote measures logging with nearly all events over the limit.
-func BenchmarkNote(b *testing.B) {
-	a := NewAsync(io.Discard)
-	d := NewDecisions(&log.Logger{Handler: a, Level: log.InfoLevel}, LinesPerSecond)
+// BenchmarkLimitedLogger measures logging with nearly all events over the
+// limit.
+func BenchmarkLimitedLogger(b *testing.B) {
+	a := NewAsyncHandler(io.Discard)
+	d := NewLimitedLogger(&log.Logger{Handler: a, Level: log.InfoLevel}, DefaultLinesPerSecond)
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Note("kind", func() log.Fields { return log.Fields{"id": "x", "why": "y"} })
+		d.Log("kind", func() log.Fields { return log.Fields{"id": "x", "why": "y"} })
 	}
 }
