--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -16,10 +16,10 @@
 // deployments are the example configurations that the demo runs, with the
 // operations that callers send and the address of the simulated platform.
 var deployments = []struct {
-	name     string
-	text     []byte
-	platform string
-	entries  []callgraph.Ref
+	name       string
+	text       []byte
+	platform   string
+	operations []callgraph.Ref
 }{
 	{"kessler-raab", examples.KesslerRaab, "127.0.0.1:17000", []callgraph.Ref{
 		{Service: "entwurf", Operation: "publish"}, {Service: "entwurf", Operation: "read_draft"},
@@ -51,8 +51,8 @@
 			if err != nil {
 				return err
 			}
-			rep := load.Run(c.Context, load.Config{Graph: m.Graph, Entries: d.entries, Rate: c.Float64("rate"), Duration: c.Duration("duration"), Retries: 2})
-			fmt.Fprintf(c.App.Writer, "== %s: %d instances, deepest chain %d\n", d.name, len(m.Nodes), maxDepth(m.Graph, d.entries))
+			rep := load.Run(c.Context, load.Config{Graph: m.Graph, Operations: d.operations, Rate: c.Float64("rate"), Duration: c.Duration("duration"), Retries: 2})
+			fmt.Fprintf(c.App.Writer, "== %s: %d instances, deepest chain %d\n", d.name, len(m.Nodes), maxDepth(m.Graph, d.operations))
 			rep.Print(c.App.Writer)
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			m.Stop(ctx)
--- a/cmd/oatpin/experiment.go
+++ b/cmd/oatpin/experiment.go
@@ -35,17 +35,17 @@
 		fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 		series := map[string][]int64{}
 		for _, baseline := range []bool{false, true} {
-			s := demo.Slowdown{
-				Mesh:    demo.Config{InitialConfig: examples.Slowdown, Platform: "127.0.0.1:0", Baseline: baseline, Log: lg},
-				Entries: []callgraph.Ref{{Service: "front", Operation: "write"}, {Service: "front", Operation: "read"}},
-				Deepest: "deep", Factor: c.Float64("factor"), Rate: c.Float64("rate"), Surge: c.Float64("surge"),
-				Warm: c.Duration("warm"), Slow: c.Duration("slow"), After: c.Duration("after"), Retries: c.Int("retries"),
+			s := demo.SlowdownExperiment{
+				MeshConfig:  demo.Config{InitialConfig: examples.Slowdown, Platform: "127.0.0.1:0", Baseline: baseline, Log: lg},
+				Operations:  []callgraph.Ref{{Service: "front", Operation: "write"}, {Service: "front", Operation: "read"}},
+				SlowService: "deep", SlowdownFactor: c.Float64("factor"), Rate: c.Float64("rate"), SurgeFactor: c.Float64("surge"),
+				WarmUp: c.Duration("warm"), SlowPeriod: c.Duration("slow"), RecoveryPeriod: c.Duration("after"), Retries: c.Int("retries"),
 			}
 			res, err := s.Run(c.Context)
 			if err != nil {
 				return err
 			}
-			series[printRow(c, baseline, res)] = res.Report.PerSec
+			series[printRow(c, baseline, res)] = res.Report.CompletedPerSecond
 		}
 		fmt.Fprintln(w, "\nwhole requests completed in each second:")
 		for _, mode := range []string{"oatpin", "baseline"} {
@@ -56,7 +56,7 @@
 }
 
 // printRow writes the table row of one mode and returns the mode's name.
-func printRow(c *cli.Context, baseline bool, res demo.Result) string {
+func printRow(c *cli.Context, baseline bool, res demo.SlowdownResult) string {
 	mode := "oatpin"
 	if baseline {
 		mode = "baseline"
@@ -73,6 +73,6 @@
 	}
 	fmt.Fprintf(c.App.Writer, "| %s | %d | %d | %d | %d | %d | %.2f | %s | %s |\n", mode, sent,
 		res.Report.Classes["critical"].Completed, res.Report.Classes["sheddable"].Completed, refused, failed,
-		float64(res.Arrivals)/float64(sent), res.Report.LatencyAt(99), recovery)
+		float64(res.Arrivals)/float64(sent), res.Report.LatencyPercentile(99), recovery)
 	return mode
 }
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -65,16 +65,16 @@
 			return err
 		}
 		defer closer.Close()
-		t := target.New(target.Config{Service: s.Service, Graph: g, Node: s.Node, ColdStart: s.ColdStart, HealthLag: s.HealthLag})
+		t := target.New(target.Config{Service: s.Service, Graph: g, NodeURL: s.Node, ColdStart: s.ColdStart, HealthLag: s.HealthLag})
 		l, err := net.Listen("tcp", s.HTTP)
 		if err != nil {
 			return eris.Wrapf(err, "listen http %s", s.HTTP)
 		}
 		lg.WithField("http", s.HTTP).Info("target_started")
 		defer lg.Info("target_stopped")
-		return serveHTTP(t.Limit(l), t.Handler(), func() {
+		return serveHTTP(t.LimitConnections(l), t.Handler(), func() {
 			lg.Info("target_leaving")
-			t.Leave()
+			t.DrainAndWait()
 		})
 	},
 }
--- a/cmd/oatpin/tools.go
+++ b/cmd/oatpin/tools.go
@@ -33,16 +33,16 @@
 		if err != nil {
 			return err
 		}
-		var entries []callgraph.Ref
+		var operations []callgraph.Ref
 		for _, a := range c.Args().Tail() {
 			svc, op, _ := strings.Cut(a, ".")
 			ref := callgraph.Ref{Service: svc, Operation: op}
 			if g.Operation(ref) == nil {
 				return eris.Errorf("load: %s is not an operation of the configuration", a)
 			}
-			entries = append(entries, ref)
+			operations = append(operations, ref)
 		}
-		rep := load.Run(c.Context, load.Config{Graph: g, Entries: entries, Rate: c.Float64("rate"), Duration: c.Duration("duration"), Retries: c.Int("retries")})
+		rep := load.Run(c.Context, load.Config{Graph: g, Operations: operations, Rate: c.Float64("rate"), Duration: c.Duration("duration"), Retries: c.Int("retries")})
 		rep.Print(c.App.Writer)
 		return nil
 	},
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -139,14 +139,14 @@
 // startInstance starts the simulated target of an instance on a free loopback
 // port, then its node on the HTTP and peer listeners.
 func (m *Mesh) startInstance(cfg Config, service string, in callgraph.Instance, listeners [2]net.Listener) error {
-	t := target.New(target.Config{Service: service, Graph: m.Graph, Node: "http://" + in.HTTP})
+	t := target.New(target.Config{Service: service, Graph: m.Graph, NodeURL: "http://" + in.HTTP})
 	targetListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		listeners[0].Close()
 		listeners[1].Close()
 		return eris.Wrap(err, "listen on a loopback port for a target")
 	}
-	targetAddr := m.serve(t.Limit(targetListener), t.Handler())
+	targetAddr := m.serve(t.LimitConnections(targetListener), t.Handler())
 	m.Targets[in.Name] = t
 	m.targetURLs[in.Name] = "http://" + targetAddr
 	var dial func(context.Context, string) (net.Conn, error)
@@ -183,9 +183,9 @@
 	return l.Addr().String()
 }
 
-// Versions returns the configuration version that each node uses, by instance
-// name; nodes without a configuration are left out.
-func (m *Mesh) Versions() map[string]callgraph.Version {
+// ConfigVersions returns the configuration version that each node uses, by
+// instance name; nodes without a configuration are left out.
+func (m *Mesh) ConfigVersions() map[string]callgraph.Version {
 	out := make(map[string]callgraph.Version, len(m.Nodes))
 	for name, n := range m.Nodes {
 		if g := n.Graph(); g != nil {
--- a/load/load.go
+++ b/load/load.go
@@ -23,9 +23,9 @@
 type (
 	// Config configures a Run.
 	Config struct {
-		Graph   *callgraph.Graph
-		Entries []callgraph.Ref // operations to call, in round-robin order
-		Rate    float64         // requests per second; open loop, independent of responses
+		Graph      *callgraph.Graph
+		Operations []callgraph.Ref // operations to call, in round-robin order
+		Rate       float64         // requests per second; open loop, independent of responses
 		// RateAt, if not nil, replaces Rate by a rate that depends on the time
 		// since the start of the run.
 		RateAt   func(elapsed time.Duration) float64
@@ -34,8 +34,8 @@
 		Client   *http.Client // nil for a default client
 	}
 
-	// ClassReport holds the request counts of one class.
-	ClassReport struct {
+	// ClassCounts holds the request counts of one class.
+	ClassCounts struct {
 		Sent      int64
 		Completed int64 // responses with status OK
 		Refused   int64 // not run after all retries, or not sent because of maxInFlight
@@ -45,24 +45,24 @@
 
 	// Report is the result of a Run.
 	Report struct {
-		Duration time.Duration
-		Classes  map[call.Class]*ClassReport
-		Latency  *hdrhistogram.Histogram // of completed requests, in microseconds
-		PerSec   []int64                 // completed requests in each second of the run
+		Duration           time.Duration
+		Classes            map[call.Class]*ClassCounts
+		Latency            *hdrhistogram.Histogram // of completed requests, in microseconds
+		CompletedPerSecond []int64                 // completed requests in each second of the run
 	}
 )
 
 // Run sends requests for cfg.Duration, or until ctx is done, and waits for those
 // in flight.
 func Run(ctx context.Context, cfg Config) *Report {
-	rep := &Report{Duration: cfg.Duration, Classes: map[call.Class]*ClassReport{
+	rep := &Report{Duration: cfg.Duration, Classes: map[call.Class]*ClassCounts{
 		call.Critical: {}, call.Sheddable: {},
-	}, Latency: hdrhistogram.New(1, 60_000_000, 3), PerSec: make([]int64, int(cfg.Duration/time.Second)+1)}
+	}, Latency: hdrhistogram.New(1, 60_000_000, 3), CompletedPerSecond: make([]int64, int(cfg.Duration/time.Second)+1)}
 	client := cfg.Client
 	if client == nil {
 		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	}
-	var mu sync.Mutex // guards rep.Latency and rep.PerSec
+	var mu sync.Mutex // guards rep.Latency and rep.CompletedPerSecond
 	var wg sync.WaitGroup
 	var inFlight atomic.Int64
 	start := time.Now()
@@ -77,7 +77,7 @@
 			break
 		}
 		time.Sleep(time.Until(next))
-		ref := cfg.Entries[i%len(cfg.Entries)]
+		ref := cfg.Operations[i%len(cfg.Operations)]
 		op := cfg.Graph.Operation(ref)
 		counts := rep.Classes[op.Class]
 		atomic.AddInt64(&counts.Sent, 1)
@@ -97,8 +97,8 @@
 				atomic.AddInt64(&counts.Completed, 1)
 				mu.Lock()
 				rep.Latency.RecordValue(time.Since(sent).Microseconds())
-				if s := int(time.Since(start) / time.Second); s < len(rep.PerSec) {
-					rep.PerSec[s]++
+				if s := int(time.Since(start) / time.Second); s < len(rep.CompletedPerSecond) {
+					rep.CompletedPerSecond[s]++
 				}
 				mu.Unlock()
 			case call.NotRun:
@@ -115,7 +115,7 @@
 // send makes one request and retries it without backoff on NotRun and Unknown.
 // Each try goes to a random instance with the same request ID and idempotency
 // key.
-func send(ctx context.Context, client *http.Client, cfg Config, ref callgraph.Ref, id string, counts *ClassReport) call.Status {
+func send(ctx context.Context, client *http.Client, cfg Config, ref callgraph.Ref, id string, counts *ClassCounts) call.Status {
 	var status call.Status
 	instances := cfg.Graph.Services[ref.Service].Instances
 	instance := instances[rand.IntN(len(instances))]
@@ -171,30 +171,30 @@
 		fmt.Fprintf(w, "%-10s %8d %10d %8d %8d %9d\n", class, c.Sent, c.Completed, c.Refused, c.Failed, c.Attempts)
 	}
 	fmt.Fprintf(w, "latency of completed: p50 %s p99 %s max %s\n",
-		r.LatencyAt(50), r.LatencyAt(99), r.LatencyAt(100))
+		r.LatencyPercentile(50), r.LatencyPercentile(99), r.LatencyPercentile(100))
 }
 
-// LatencyAt returns the given percentile (0 to 100) of the latency of completed
-// requests.
-func (r *Report) LatencyAt(percentile float64) time.Duration {
+// LatencyPercentile returns the given percentile (0 to 100) of the latency of
+// completed requests.
+func (r *Report) LatencyPercentile(percentile float64) time.Duration {
 	return time.Duration(r.Latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// RecoveryAgainst returns the time from overloadEnd, in seconds since the start
+// RecoveryTime returns the time from overloadEnd, in seconds since the start
 // of the run, until the per-second goodput reaches 90% of the baseline, or -1 if
 // it never does. The baseline is the mean from second 1, to leave out the
 // ramp-up in second 0, up to but not including second baselineEnd.
-func (r *Report) RecoveryAgainst(baselineEnd, overloadEnd int) time.Duration {
-	if baselineEnd <= 1 || overloadEnd >= len(r.PerSec) {
+func (r *Report) RecoveryTime(baselineEnd, overloadEnd int) time.Duration {
+	if baselineEnd <= 1 || overloadEnd >= len(r.CompletedPerSecond) {
 		return -1
 	}
 	var sum int64
-	for _, completed := range r.PerSec[1:baselineEnd] {
+	for _, completed := range r.CompletedPerSecond[1:baselineEnd] {
 		sum += completed
 	}
 	baseline := float64(sum) / float64(baselineEnd-1)
-	for s := overloadEnd; s < len(r.PerSec)-1; s++ {
-		if float64(r.PerSec[s]) >= 0.9*baseline {
+	for s := overloadEnd; s < len(r.CompletedPerSecond)-1; s++ {
+		if float64(r.CompletedPerSecond[s]) >= 0.9*baseline {
 			return time.Duration(s-overloadEnd) * time.Second
 		}
 	}
--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -28,7 +28,7 @@
 	n := 0
 	for name, tg := range m.Targets {
 		if strings.HasPrefix(name, "versand") {
-			n += tg.Effects()[key]
+			n += tg.CommitCounts()[key]
 		}
 	}
 	return n
@@ -84,7 +84,7 @@
 		st = callKeyed(t, entryURL(m, "entwurf", 0), "versand", "dispatch", next)
 		So(st, ShouldEqual, call.OK)
 		So(dispatchCount(m, next), ShouldEqual, 1)
-		So(m.Targets["versand-1"].Effects()[next], ShouldEqual, 0)
+		So(m.Targets["versand-1"].CommitCounts()[next], ShouldEqual, 0)
 	})
 }
 
--- a/node/propagation_test.go
+++ b/node/propagation_test.go
@@ -24,7 +24,7 @@
 	deadline := time.Now().Add(propagationBound)
 	for {
 		var lagging []string
-		for name, got := range m.Versions() {
+		for name, got := range m.ConfigVersions() {
 			if got < v {
 				lagging = append(lagging, name)
 			}
@@ -70,7 +70,7 @@
 	Convey("A stale platform that serves the older configuration rolls no node back", t, func() {
 		m.Platform.SetMode(configservice.ModeStale)
 		time.Sleep(2 * time.Second) // two watch backoffs
-		for name, v := range m.Versions() {
+		for name, v := range m.ConfigVersions() {
 			So(fmt.Sprint(name, v), ShouldEqual, fmt.Sprint(name, 3))
 		}
 	})
--- a/node/publication_test.go
+++ b/node/publication_test.go
@@ -76,7 +76,7 @@
 		commits := 0
 		for name, tg := range m.Targets {
 			if strings.HasPrefix(name, "versand") {
-				commits += tg.Effects()[call.Key(key)+"/freigabe.approve/archiv.store/versand.dispatch"]
+				commits += tg.CommitCounts()[call.Key(key)+"/freigabe.approve/archiv.store/versand.dispatch"]
 			}
 		}
 		So(commits, ShouldEqual, 1)
@@ -99,7 +99,7 @@
 		st, _ := send(t, m, "entwurf", "publish", "")
 		So(st, ShouldEqual, call.NotRun)
 		for _, tg := range m.Targets {
-			So(tg.Effects(), ShouldBeEmpty)
+			So(tg.CommitCounts(), ShouldBeEmpty)
 		}
 	})
 }
@@ -112,8 +112,8 @@
 		t.Fatal(err)
 	}
 	m := startMesh(t, text)
-	m.Targets["s8-1"].Reject()
-	m.Targets["s8-2"].Reject()
+	m.Targets["s8-1"].RefuseCalls()
+	m.Targets["s8-2"].RefuseCalls()
 	Convey("Retries caused over all hops stay within the budget", t, func() {
 		st, _ := send(t, m, "s1", "step", "")
 		So(st, ShouldEqual, call.NotRun)
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -171,7 +171,7 @@
 	v.target, err = NewTarget(id, v.instance.Addr, platform.Headers)
 	d.must(err)
 	t := v.target
-	t.SetOnFatal(sync.OnceFunc(func() { d.crashTarget(v, t) }))
+	t.SetOnPoison(sync.OnceFunc(func() { d.crashTarget(v, t) }))
 	d.must(d.store.PutInstance(v.instance))
 }
 
@@ -217,9 +217,9 @@
 func (d *deployment) runCount(id string) int {
 	n := 0
 	for _, v := range d.vms {
-		n += v.target.Runs(id)
+		n += v.target.Executions(id)
 		for _, t := range v.previousTargets {
-			n += t.Runs(id)
+			n += t.Executions(id)
 		}
 	}
 	return n
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -102,11 +102,11 @@
 func removeLiveEntry(d *deployment, v *vm, r *rand.Rand) {
 	v.faultMu.Lock()
 	defer v.faultMu.Unlock()
-	v.storeProxy.Set(Unplug)
+	v.storeProxy.SetMode(DropAll)
 	time.Sleep(randomMillis(r, 0, 300))
 	d.store.RemoveInstance(v.instance.ID)
 	time.Sleep(randomMillis(r, 300, 2500))
-	v.storeProxy.Set(Pass)
+	v.storeProxy.SetMode(Pass)
 	time.Sleep(randomMillis(r, 0, 1500))
 	d.must(d.store.PutInstance(v.instance))
 }
@@ -116,7 +116,7 @@
 func removeWithoutDrain(d *deployment, v *vm, r *rand.Rand) {
 	v.faultMu.Lock()
 	defer v.faultMu.Unlock()
-	v.target.Leave()
+	v.target.FailHealthChecks()
 	d.store.RemoveInstance(v.instance.ID)
 	time.Sleep(randomMillis(r, 2000, 2600))
 	d.replaceTarget(v)
@@ -149,9 +149,9 @@
 
 // disruptLink puts a proxy in a random mode other than Pass for a while.
 func disruptLink(p *Proxy, r *rand.Rand) {
-	p.Set(Mode(r.IntN(int(lastMode)) + 1))
+	p.SetMode(Mode(r.IntN(int(lastMode)) + 1))
 	time.Sleep(randomMillis(r, 100, 2500))
-	p.Set(Pass)
+	p.SetMode(Pass)
 }
 
 func resetConnections(_ *deployment, v *vm, _ *rand.Rand) {
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -12,12 +12,12 @@
 
 // Modes of a Proxy.
 const (
-	Pass     Mode = iota // forwards both directions unchanged
-	Slow                 // delays each chunk by slowDelay
-	Swallow              // drops both directions of the connections open now; new ones work
-	OneWay               // drops what the client sends; responses pass
-	Unplug               // drops both directions of open and new connections
-	lastMode = Unplug
+	Pass          Mode = iota // forwards both directions unchanged
+	Slow                      // delays each chunk by slowDelay
+	DropOpenConns             // drops both directions of the connections open now; new ones work
+	DropToServer              // drops what the client sends; responses pass
+	DropAll                   // drops both directions of open and new connections
+	lastMode      = DropAll
 )
 
 const (
@@ -67,10 +67,10 @@
 	return p, nil
 }
 
-// Set changes the mode, for open connections too.
-func (p *Proxy) Set(m Mode) {
+// SetMode changes the mode, for open connections too.
+func (p *Proxy) SetMode(m Mode) {
 	p.mode.Store(int32(m))
-	if m != Swallow {
+	if m != DropOpenConns {
 		return
 	}
 	p.mu.Lock()
@@ -141,7 +141,7 @@
 		switch m := Mode(p.mode.Load()); {
 		case m == Slow:
 			time.Sleep(slowDelay)
-		case m == Unplug, m == OneWay && direction == toServer:
+		case m == DropAll, m == DropToServer && direction == toServer:
 			pair.dropped[direction].Store(true)
 		}
 		dropped := pair.dropped[direction].Load()
--- a/soak/target.go
+++ b/soak/target.go
@@ -30,7 +30,7 @@
 }
 
 // poisonBody is the body of a request that makes the target executing it call
-// the function set by SetOnFatal.
+// the function set by SetOnPoison.
 const poisonBody = "fatal"
 
 // healthPath is the path of a Target's health check.
@@ -49,8 +49,9 @@
 	return t, nil
 }
 
-// Leave makes the health check fail. The target still serves requests.
-func (t *Target) Leave() {
+// FailHealthChecks makes the health check fail. The target still serves
+// requests.
+func (t *Target) FailHealthChecks() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unhealthy = true
@@ -72,9 +73,9 @@
 	t.srv.Close()
 }
 
-// SetOnFatal sets the function to call when the target executes a request with
+// SetOnPoison sets the function to call when the target executes a request with
 // poisonBody.
-func (t *Target) SetOnFatal(f func()) {
+func (t *Target) SetOnPoison(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.onPoison = f
@@ -89,8 +90,9 @@
 	}
 }
 
-// Runs returns how often the target has executed the request with the given ID.
-func (t *Target) Runs(id string) int {
+// Executions returns how often the target has executed the request with the
+// given ID.
+func (t *Target) Executions(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[id]
--- a/target/target.go
+++ b/target/target.go
@@ -26,7 +26,7 @@
 	Config struct {
 		Service   string
 		Graph     *callgraph.Graph
-		Node      string        // base URL of the local node, without a trailing slash
+		NodeURL   string        // base URL of the local node, without a trailing slash
 		ColdStart time.Duration // period after start in which operations take three times as long
 		HealthLag time.Duration // maximum age of the state that GET /health reports
 		Client    *http.Client  // for calls to dependencies; nil for a default client
@@ -45,19 +45,19 @@
 		slowdownPercent atomic.Int64 // service time, percent of normal
 		paused          atomic.Bool
 		draining        atomic.Bool
-		rejecting       atomic.Bool
+		refusing        atomic.Bool
 		inflight        atomic.Int64
 		arrivals        atomic.Int64
 
 		mu      sync.Mutex
-		effects map[call.Key]int // number of commits of each non-idempotent action
+		commits map[call.Key]int // number of commits of each non-idempotent action
 	}
 )
 
 // New builds a Target for cfg.Service of cfg.Graph.
 func New(cfg Config) *Target {
 	s := cfg.Graph.Services[cfg.Service]
-	t := &Target{cfg: cfg, service: s, slots: make(chan struct{}, s.Slots), started: time.Now(), client: cfg.Client, effects: map[call.Key]int{}}
+	t := &Target{cfg: cfg, service: s, slots: make(chan struct{}, s.Slots), started: time.Now(), client: cfg.Client, commits: map[call.Key]int{}}
 	if t.client == nil {
 		t.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
@@ -66,9 +66,10 @@
 	return t
 }
 
-// Limit wraps l so that it accepts at most the number of concurrent connections
-// configured for the service; it returns l itself if there is no limit.
-func (t *Target) Limit(l net.Listener) net.Listener {
+// LimitConnections wraps l so that it accepts at most the number of concurrent
+// connections configured for the service; it returns l itself if there is no
+// limit.
+func (t *Target) LimitConnections(l net.Listener) net.Listener {
 	if t.service.Connections <= 0 {
 		return l
 	}
@@ -83,19 +84,19 @@
 	mux.HandleFunc("GET /health", t.handleHealth)
 	mux.HandleFunc("POST /admin/slow", func(w http.ResponseWriter, r *http.Request) {
 		f, _ := strconv.ParseFloat(r.URL.Query().Get("factor"), 64)
-		t.SetSlow(f)
+		t.SetSlowdown(f)
 	})
 	mux.HandleFunc("POST /admin/pause", func(w http.ResponseWriter, r *http.Request) { t.paused.Store(r.URL.Query().Get("on") != "false") })
 	mux.HandleFunc("POST /admin/drain", func(w http.ResponseWriter, r *http.Request) { t.Drain() })
 	mux.HandleFunc("GET /admin/effects", func(w http.ResponseWriter, r *http.Request) {
-		json.NewEncoder(w).Encode(t.Effects())
+		json.NewEncoder(w).Encode(t.CommitCounts())
 	})
 	return mux
 }
 
-// SetSlow multiplies the service time of every operation by factor; a factor of
-// 0 or less resets it to 1.
-func (t *Target) SetSlow(factor float64) {
+// SetSlowdown multiplies the service time of every operation by factor; a
+// factor of 0 or less resets it to 1.
+func (t *Target) SetSlowdown(factor float64) {
 	if factor <= 0 {
 		factor = 1
 	}
@@ -106,27 +107,28 @@
 // 1 s.
 func (t *Target) Drain() { t.draining.Store(true) }
 
-// Leave drains the target and waits for drainPeriod, so that the node learns of
-// it from a refusal instead of from failed dials once the listener is closed.
-func (t *Target) Leave() {
+// DrainAndWait drains the target and waits for drainPeriod, so that the node
+// learns of it from a refusal instead of from failed dials once the listener is
+// closed.
+func (t *Target) DrainAndWait() {
 	t.Drain()
 	time.Sleep(drainPeriod)
 }
 
-// Reject makes the target refuse every new call as not run, without a
+// RefuseCalls makes the target refuse every new call as not run, without a
 // Retry-After header.
-func (t *Target) Reject() { t.rejecting.Store(true) }
+func (t *Target) RefuseCalls() { t.refusing.Store(true) }
 
 // Arrivals returns the number of calls received, including refused ones.
 func (t *Target) Arrivals() int64 { return t.arrivals.Load() }
 
-// Effects returns the number of commits of each non-idempotent action, by
+// CommitCounts returns the number of commits of each non-idempotent action, by
 // idempotency key. An action committed more than once has been duplicated.
-func (t *Target) Effects() map[call.Key]int {
+func (t *Target) CommitCounts() map[call.Key]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[call.Key]int, len(t.effects))
-	for k, v := range t.effects {
+	out := make(map[call.Key]int, len(t.commits))
+	for k, v := range t.commits {
 		out[k] = v
 	}
 	return out
@@ -144,7 +146,7 @@
 		notRun(w, "target draining", "1")
 		return
 	}
-	if t.rejecting.Load() {
+	if t.refusing.Load() {
 		notRun(w, "target rejecting", "")
 		return
 	}
@@ -207,7 +209,7 @@
 	}
 	if !op.Idempotent {
 		t.mu.Lock()
-		t.effects[r.Key]++
+		t.commits[r.Key]++
 		t.mu.Unlock()
 	}
 	return out.Bytes(), call.OK, ""
@@ -228,7 +230,7 @@
 // metadata. The idempotency key is derived from the caller's; occurrence tells
 // repeated calls to the same operation apart.
 func (t *Target) callDependency(ctx context.Context, header http.Header, ref callgraph.Ref, r call.Request, occurrence int) ([]byte, call.Status, string) {
-	url := t.cfg.Node + "/v1/call/" + ref.Service + "/" + ref.Operation
+	url := t.cfg.NodeURL + "/v1/call/" + ref.Service + "/" + ref.Operation
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	if err != nil {
 		return []byte(err.Error()), call.NotRun, ""
--- a/target/target_test.go
+++ b/target/target_test.go
@@ -50,7 +50,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		srv := &http.Server{Handler: tg.Handler()}
-		go srv.Serve(tg.Limit(l))
+		go srv.Serve(tg.LimitConnections(l))
 		defer srv.Close()
 		first, err := net.Dial("tcp", l.Addr().String())
 		So(err, ShouldBeNil)
