--- a/membership/counts.go
+++ b/dirsync/counts.go
@@ -1,4 +1,4 @@
-package membership
+package dirsync
 
 import "sync/atomic"
 
@@ -28,15 +28,15 @@
 
 // Counts returns the calls that this node made since its start. It is safe for
 // concurrent use.
-func (m *Member) Counts() Counts {
-	c := &m.counters
+func (s *Syncer) Counts() Counts {
+	c := &s.counters
 	return Counts{SourceCalls: c.sourceCalls.Load(), SourceErrors: c.sourceErrors.Load(), PeerPolls: c.peerPolls.Load(), PeerErrors: c.peerErrors.Load()}
 }
 
 // IsReader reports whether this node is a reader of the source. It is safe for
 // concurrent use.
-func (m *Member) IsReader() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.isReader
+func (s *Syncer) IsReader() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.isReader
 }
--- a/membership/fake_test.go
+++ b/dirsync/fake_test.go
@@ -1,4 +1,4 @@
-package membership
+package dirsync
 
 import (
 	"context"
@@ -56,9 +56,9 @@
 		isolated         atomic.Bool // the node reaches neither the store nor other nodes
 	}
 
-	// node is a Member with its link and lifecycle.
+	// node is a Syncer with its link and lifecycle.
 	node struct {
-		*Member
+		*Syncer
 		fleet *fleet
 		link  *link
 		addr  Addr
@@ -286,7 +286,7 @@
 func (n *node) start() {
 	ctx, stop := context.WithCancel(context.Background())
 	n.dir, n.stop, n.alive = directory.New(directory.DefaultConfig(discardLog)), stop, true
-	n.Member = New(Config{Directory: n.dir, Source: n.link, Peers: n, Self: n.addr, DC: n.in.DC, Seeds: n.fleet.seeds, Log: discardLog,
+	n.Syncer = New(Config{Directory: n.dir, Source: n.link, Peers: n, Self: n.addr, DC: n.in.DC, Seeds: n.fleet.seeds, Log: discardLog,
 		NodeAddr: func(in directory.Instance) (Addr, error) { return Addr(in.Addr[:len(in.Addr)-1-2] + ":7"), nil }})
 	go n.Run(ctx)
 }
--- a/membership/fleet_test.go
+++ b/dirsync/fleet_test.go
@@ -1,4 +1,4 @@
-package membership
+package dirsync
 
 import (
 	"fmt"
--- a/membership/ranking.go
+++ b/dirsync/ranking.go
@@ -1,4 +1,4 @@
-package membership
+package dirsync
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	// reader can freeze, lose the source or be killed.
 	minReaders = 2
 	// collectorsPerDC is how many nodes per data centre are returned by
-	// Member.Collectors.
+	// Syncer.Collectors.
 	collectorsPerDC = 3
 )
 
--- a/membership/member.go
+++ b/dirsync/syncer.go
@@ -1,4 +1,4 @@
-package membership
+package dirsync
 
 import (
 	"context"
@@ -42,7 +42,7 @@
 		Since(ctx context.Context, at Addr, after directory.Revision, wait time.Duration) (directory.Delta, error)
 	}
 
-	// Config holds the dependencies and settings of a Member.
+	// Config holds the dependencies and settings of a Syncer.
 	Config struct {
 		Directory *directory.Directory
 		// Source is read by this node while it is a reader; nil if this node
@@ -59,8 +59,8 @@
 		Log      log.Interface
 	}
 
-	// Member keeps the Directory of one node up to date.
-	Member struct {
+	// Syncer keeps the Directory of one node up to date.
+	Syncer struct {
 		cfg         Config
 		dir         *directory.Directory
 		log         log.Interface
@@ -70,7 +70,8 @@
 
 		counters counters
 
-		// round counts the polls. Only the goroutine of Run uses round and backoffs.
+		// round counts the polls. Only the goroutine of Run uses round and
+		// backoffs.
 		round    int
 		backoffs peerBackoffs
 
@@ -82,41 +83,41 @@
 	}
 )
 
-// New returns a Member; Run starts it.
-func New(cfg Config) *Member {
-	m := &Member{cfg: cfg, dir: cfg.Directory, log: cfg.Log, peerWaiting: make(chan struct{}, 1), round: rand.IntN(minReaders), backoffs: peerBackoffs{}}
+// New returns a Syncer; Run starts it.
+func New(cfg Config) *Syncer {
+	s := &Syncer{cfg: cfg, dir: cfg.Directory, log: cfg.Log, peerWaiting: make(chan struct{}, 1), round: rand.IntN(minReaders), backoffs: peerBackoffs{}}
 	if cfg.Source != nil {
 		var readers func() int
 		if cfg.Peers != nil {
-			readers = func() int { return m.currentRanking().totalReaders() }
+			readers = func() int { return s.currentRanking().totalReaders() }
 		}
-		m.reader = m.dir.NewReader(cfg.Source, readers)
+		s.reader = s.dir.NewReader(cfg.Source, readers)
 	}
-	return m
+	return s
 }
 
 // Self returns the address under which this node appears in the ranking.
-func (m *Member) Self() Addr { return m.cfg.Self }
+func (s *Syncer) Self() Addr { return s.cfg.Self }
 
 // Run keeps the Directory up to date until ctx ends.
-func (m *Member) Run(ctx context.Context) {
-	go m.dir.RunExpiry(ctx)
-	m.bootstrap(ctx)
-	if m.reader == nil {
+func (s *Syncer) Run(ctx context.Context) {
+	go s.dir.RunExpiry(ctx)
+	s.bootstrap(ctx)
+	if s.reader == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		readers := m.localReaders()
-		isReader := m.cfg.Peers == nil || len(readers) == 0 || slices.Contains(readers, m.cfg.Self)
-		m.setReader(ctx, isReader)
-		m.round++
+		readers := s.localReaders()
+		isReader := s.cfg.Peers == nil || len(readers) == 0 || slices.Contains(readers, s.cfg.Self)
+		s.setReader(ctx, isReader)
+		s.round++
 		switch {
 		case !isReader:
-			m.pollOneOf(ctx, readers, m.round, pollWait)
-		case m.dir.ReadsSource():
-			m.pollOneOf(ctx, m.readerPeers(), m.round/2, pollWait)
+			s.pollOneOf(ctx, readers, s.round, pollWait)
+		case s.dir.ReadsSource():
+			s.pollOneOf(ctx, s.readerPeers(), s.round/2, pollWait)
 		default:
-			m.pollOneOf(ctx, m.readerPeers(), m.round/2, pollWaitSourceDown)
+			s.pollOneOf(ctx, s.readerPeers(), s.round/2, pollWaitSourceDown)
 		}
 	}
 }
@@ -124,84 +125,84 @@
 // PeerPolled records that another node polled this one. A node that knows
 // nothing yet then stops waiting for its seeds; otherwise nodes that start
 // together would wait for each other. It is safe for concurrent use.
-func (m *Member) PeerPolled() {
-	if m.dir.HasSnapshot() {
+func (s *Syncer) PeerPolled() {
+	if s.dir.HasSnapshot() {
 		return
 	}
 	select {
-	case m.peerWaiting <- struct{}{}:
+	case s.peerWaiting <- struct{}{}:
 	default:
 	}
 }
 
 // currentRanking returns the ranking of the nodes in the current view.
-func (m *Member) currentRanking() *ranking {
-	v := m.dir.View()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.view != v {
-		m.view, m.ranking = v, newRanking(v, m.cfg.NodeAddr)
+func (s *Syncer) currentRanking() *ranking {
+	v := s.dir.View()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.view != v {
+		s.view, s.ranking = v, newRanking(v, s.cfg.NodeAddr)
 	}
-	return m.ranking
+	return s.ranking
 }
 
 // localReaders returns the readers of this data centre as seen from this node.
 // Nodes in backoff are skipped, and the node itself reads once its rank is
 // reached.
-func (m *Member) localReaders() []Addr {
+func (s *Syncer) localReaders() []Addr {
 	now := time.Now()
-	return m.currentRanking().readers(m.cfg.DC, func(a Addr) bool { return a != m.cfg.Self && m.backoffs.blocked(a, now) })
+	return s.currentRanking().readers(s.cfg.DC, func(a Addr) bool { return a != s.cfg.Self && s.backoffs.blocked(a, now) })
 }
 
 // AllReaders returns the readers of all data centres except this node. Some may
 // be down.
-func (m *Member) AllReaders() []Addr {
-	r := m.currentRanking()
+func (s *Syncer) AllReaders() []Addr {
+	r := s.currentRanking()
 	var all []Addr
 	for dc := range r.nodes {
-		all = append(all, r.readers(dc, func(a Addr) bool { return a == m.cfg.Self })...)
+		all = append(all, r.readers(dc, func(a Addr) bool { return a == s.cfg.Self })...)
 	}
 	return all
 }
 
 // setReader starts or ends this node's role as a reader.
-func (m *Member) setReader(ctx context.Context, isReader bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.isReader == isReader {
+func (s *Syncer) setReader(ctx context.Context, isReader bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isReader == isReader {
 		return
 	}
-	m.isReader = isReader
-	m.log.WithFields(log.Fields{"reads": isReader, "revision": m.dir.Revision()}).Info("reader_changed")
-	if isReader && !m.readLoopRunning {
-		m.readLoopRunning = true
-		go m.readLoop(ctx)
+	s.isReader = isReader
+	s.log.WithFields(log.Fields{"reads": isReader, "revision": s.dir.Revision()}).Info("reader_changed")
+	if isReader && !s.readLoopRunning {
+		s.readLoopRunning = true
+		go s.readLoop(ctx)
 	}
 }
 
 // readLoop calls the source repeatedly while this node is a reader.
-func (m *Member) readLoop(ctx context.Context) {
-	for m.continueReading(ctx) {
-		err := m.reader.Step(ctx)
-		m.counters.countSourceCall(err)
+func (s *Syncer) readLoop(ctx context.Context) {
+	for s.continueReading(ctx) {
+		err := s.reader.Step(ctx)
+		s.counters.countSourceCall(err)
 		if err != nil {
-			m.backoff.Wait(ctx)
+			s.backoff.Wait(ctx)
 		} else {
-			m.backoff.Reset()
+			s.backoff.Reset()
 		}
 	}
 }
 
 // continueReading reports whether readLoop is to make another call. If not, it
 // marks the loop as ended.
-func (m *Member) continueReading(ctx context.Context) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.isReader && ctx.Err() == nil {
+func (s *Syncer) continueReading(ctx context.Context) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isReader && ctx.Err() == nil {
 		return true
 	}
-	m.readLoopRunning = false
-	m.dir.StopReading()
+	s.readLoopRunning = false
+	s.dir.StopReading()
 	return false
 }
 
@@ -210,95 +211,95 @@
 // centre and, every second time, the first reader of each other one. Polling
 // the remote ones first would cost seconds if they are partitioned. Without any
 // it returns the seeds.
-func (m *Member) readerPeers() []Addr {
+func (s *Syncer) readerPeers() []Addr {
 	now := time.Now()
-	skip := func(a Addr) bool { return a == m.cfg.Self || m.backoffs.blocked(a, now) }
-	r := m.currentRanking()
-	local := r.readers(m.cfg.DC, skip)
+	skip := func(a Addr) bool { return a == s.cfg.Self || s.backoffs.blocked(a, now) }
+	r := s.currentRanking()
+	local := r.readers(s.cfg.DC, skip)
 	var remote []Addr
-	for _, dc := range r.otherDCs(m.cfg.DC) {
+	for _, dc := range r.otherDCs(s.cfg.DC) {
 		if readers := r.readers(dc, skip); len(readers) > 0 {
 			remote = append(remote, readers[0])
 		}
 	}
 	switch {
-	case len(remote) > 0 && (len(local) == 0 || m.round%2 == 0):
+	case len(remote) > 0 && (len(local) == 0 || s.round%2 == 0):
 		return remote
 	case len(local) > 0:
 		return local
 	}
-	return slices.DeleteFunc(slices.Clone(m.cfg.Seeds), skip)
+	return slices.DeleteFunc(slices.Clone(s.cfg.Seeds), skip)
 }
 
 // pollOneOf polls one of nodes, selected by round.
-func (m *Member) pollOneOf(ctx context.Context, nodes []Addr, round int, wait time.Duration) {
-	if m.cfg.Peers == nil || len(nodes) == 0 {
+func (s *Syncer) pollOneOf(ctx context.Context, nodes []Addr, round int, wait time.Duration) {
+	if s.cfg.Peers == nil || len(nodes) == 0 {
 		directory.Pause(ctx, wait)
 		return
 	}
-	m.poll(ctx, nodes[round%len(nodes)], wait)
+	s.poll(ctx, nodes[round%len(nodes)], wait)
 }
 
 // poll asks a node for what this one does not know and applies the answer. A
 // node that does not answer is skipped until its backoff ends.
-func (m *Member) poll(ctx context.Context, at Addr, wait time.Duration) {
-	delta, err := m.cfg.Peers.Since(ctx, at, m.dir.Revision(), wait)
+func (s *Syncer) poll(ctx context.Context, at Addr, wait time.Duration) {
+	delta, err := s.cfg.Peers.Since(ctx, at, s.dir.Revision(), wait)
 	if ctx.Err() != nil {
 		return
 	}
-	m.counters.countPeerPoll(err)
+	s.counters.countPeerPoll(err)
 	if err != nil {
-		if m.backoffs.recordFailure(at, time.Now()) {
-			m.log.WithField("peer", at).WithError(err).Info("reader_passed_over")
+		if s.backoffs.recordFailure(at, time.Now()) {
+			s.log.WithField("peer", at).WithError(err).Info("reader_passed_over")
 		}
 		return
 	}
-	m.backoffs.recordSuccess(at)
-	m.dir.ApplyDelta(delta)
+	s.backoffs.recordSuccess(at)
+	s.dir.ApplyDelta(delta)
 }
 
 // bootstrap polls the seeds until one has answered with a list, another node
 // polls this one, or, for a node that can read the source, bootstrapTimeout has
 // passed.
-func (m *Member) bootstrap(ctx context.Context) {
-	if m.cfg.Peers == nil || len(m.cfg.Seeds) == 0 {
+func (s *Syncer) bootstrap(ctx context.Context) {
+	if s.cfg.Peers == nil || len(s.cfg.Seeds) == 0 {
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if m.reader != nil {
+	if s.reader != nil {
 		end := time.AfterFunc(bootstrapTimeout, cancel)
 		defer end.Stop()
 	}
 	go func() {
 		select {
-		case <-m.peerWaiting:
+		case <-s.peerWaiting:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	for i := rand.IntN(len(m.cfg.Seeds)); ctx.Err() == nil && !m.dir.HasSnapshot(); i++ {
-		at := m.cfg.Seeds[i%len(m.cfg.Seeds)]
-		delta, err := m.cfg.Peers.Since(ctx, at, 0, bootstrapTimeout)
-		m.counters.countPeerPoll(err)
+	for i := rand.IntN(len(s.cfg.Seeds)); ctx.Err() == nil && !s.dir.HasSnapshot(); i++ {
+		at := s.cfg.Seeds[i%len(s.cfg.Seeds)]
+		delta, err := s.cfg.Peers.Since(ctx, at, 0, bootstrapTimeout)
+		s.counters.countPeerPoll(err)
 		if err != nil {
 			directory.Pause(ctx, bootstrapRetryDelay)
 			continue
 		}
-		m.dir.ApplyDelta(delta)
+		s.dir.ApplyDelta(delta)
 	}
 }
 
 // Collectors returns the highest-ranked nodes of this data centre and of each
 // other one, and the number of nodes in all data centres. All nodes with the
 // same view return the same ones.
-func (m *Member) Collectors() (own []Addr, others [][]Addr, total int) {
-	r := m.currentRanking()
-	for _, dc := range r.otherDCs(m.cfg.DC) {
+func (s *Syncer) Collectors() (own []Addr, others [][]Addr, total int) {
+	r := s.currentRanking()
+	for _, dc := range r.otherDCs(s.cfg.DC) {
 		others = append(others, r.collectors(dc))
 	}
 	for _, all := range r.nodes {
 		total += len(all)
 	}
-	return r.collectors(m.cfg.DC), others, total
+	return r.collectors(s.cfg.DC), others, total
 }
--- a/membership/doc.go
+++ /dev/null
@@ -1,5 +0,0 @@
-// Package membership selects the nodes of each data centre that read the source
-// of routes and instances; all other nodes poll those readers. Every node
-// derives the readers from the instances it knows, without coordination: when
-// views differ, a few extra source calls are made.
-package membership
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -7,7 +7,7 @@
 
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/call"
-	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
 	"github.com/oatpin/oatpin/wire"
 	"github.com/rotisserie/eris"
@@ -45,7 +45,7 @@
 	// each peer.
 	cursorTable struct {
 		mu      sync.Mutex
-		cursors map[membership.Addr]quarantine.Cursor
+		cursors map[dirsync.Addr]quarantine.Cursor
 	}
 )
 
@@ -68,12 +68,12 @@
 	queue.fingerprints = nil
 	queue.mu.Unlock()
 	body := n.encodeReport(n.quarantine.Records(fingerprints))
-	for _, addr := range n.member.AllReaders() {
+	for _, addr := range n.dirSync.AllReaders() {
 		go n.sendReportWithRetry(addr, body)
 	}
 }
 
-func (n *Node) sendReportWithRetry(addr membership.Addr, body []byte) {
+func (n *Node) sendReportWithRetry(addr dirsync.Addr, body []byte) {
 	var err error
 	for range reportAttempts {
 		if err = n.sendReport(addr, body); err == nil {
@@ -88,7 +88,7 @@
 	n.decisions.Log("ends_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 }
 
-func (n *Node) sendReport(addr membership.Addr, body []byte) error {
+func (n *Node) sendReport(addr dirsync.Addr, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	a, err := n.callNode(ctx, addr, endsOperation, body)
@@ -104,7 +104,7 @@
 
 // callNode sends an operation to another node. It returns errNotAccepted if
 // that node refuses it.
-func (n *Node) callNode(ctx context.Context, addr membership.Addr, operation string, body []byte) (call.Answer, error) {
+func (n *Node) callNode(ctx context.Context, addr dirsync.Addr, operation string, body []byte) (call.Answer, error) {
 	conn, err := n.dial(ctx, wire.Peer{Addr: string(addr)})
 	if err != nil {
 		return call.Answer{}, err
@@ -152,7 +152,7 @@
 
 // applyUpdate applies the quarantine records in another node's response. A
 // node that keeps none sends an empty update.
-func (n *Node) applyUpdate(addr membership.Addr, update []byte) {
+func (n *Node) applyUpdate(addr dirsync.Addr, update []byte) {
 	if len(update) == 0 {
 		return
 	}
@@ -166,14 +166,14 @@
 	n.peerCursors.set(addr, report.Next)
 }
 
-func (t *cursorTable) get(addr membership.Addr) *quarantine.Cursor {
+func (t *cursorTable) get(addr dirsync.Addr) *quarantine.Cursor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cursors[addr]
 	return &c
 }
 
-func (t *cursorTable) set(addr membership.Addr, cursor quarantine.Cursor) {
+func (t *cursorTable) set(addr dirsync.Addr, cursor quarantine.Cursor) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cursors[addr] = cursor
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -10,7 +10,7 @@
 	"github.com/oatpin/oatpin/account"
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
 )
 
@@ -172,15 +172,15 @@
 		s.set.NewGauge(fmt.Sprintf(`oatpin_requests_kept_apart{node=%q,stage=%q}`, s.node, st), func() float64 { return float64(n.quarantine.Count(st)) })
 	}
 	gauge("oatpin_source_away", func() float64 { return boolGauge(n.dir.SourceUnreachable()) })
-	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.member.IsReader()) })
+	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.dirSync.IsReader()) })
 	gauge("oatpin_directory_age_seconds", func() float64 { return n.dir.Age().Seconds() })
-	for name, f := range map[string]func(membership.Counts) int64{
-		"oatpin_source_reads_total":        func(c membership.Counts) int64 { return c.SourceCalls },
-		"oatpin_source_reads_failed_total": func(c membership.Counts) int64 { return c.SourceErrors },
-		"oatpin_reader_asked_total":        func(c membership.Counts) int64 { return c.PeerPolls },
-		"oatpin_reader_asked_failed_total": func(c membership.Counts) int64 { return c.PeerErrors },
+	for name, f := range map[string]func(dirsync.Counts) int64{
+		"oatpin_source_reads_total":        func(c dirsync.Counts) int64 { return c.SourceCalls },
+		"oatpin_source_reads_failed_total": func(c dirsync.Counts) int64 { return c.SourceErrors },
+		"oatpin_reader_asked_total":        func(c dirsync.Counts) int64 { return c.PeerPolls },
+		"oatpin_reader_asked_failed_total": func(c dirsync.Counts) int64 { return c.PeerErrors },
 	} {
-		gauge(name, func() float64 { return float64(f(n.member.Counts())) })
+		gauge(name, func() float64 { return float64(f(n.dirSync.Counts())) })
 	}
 }
 
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -6,7 +6,7 @@
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/account"
 	"github.com/oatpin/oatpin/call"
-	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/dirsync"
 	"github.com/rotisserie/eris"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -21,7 +21,7 @@
 // every node knows which they are.
 func (n *Node) newExchange() *account.Exchange {
 	return account.NewExchange(account.ExchangeConfig{
-		Self: account.Source(n.member.Self()), DC: account.Source(n.cfg.DC),
+		Self: account.Source(n.dirSync.Self()), DC: account.Source(n.cfg.DC),
 		Registry: n.accountRegistry, Collectors: n.collectors, Send: n.reportUsage,
 		OnError: func(addr account.Source, err error) {
 			n.decisions.Log("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
@@ -38,14 +38,14 @@
 }
 
 func (n *Node) collectors() (own []account.Source, others [][]account.Source, total int) {
-	near, far, total := n.member.Collectors()
+	near, far, total := n.dirSync.Collectors()
 	for _, dc := range far {
 		others = append(others, sources(dc))
 	}
 	return sources(near), others, total
 }
 
-func sources(addrs []membership.Addr) []account.Source {
+func sources(addrs []dirsync.Addr) []account.Source {
 	out := make([]account.Source, 0, len(addrs))
 	for _, a := range addrs {
 		out = append(out, account.Source(a))
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode usage")
 	}
-	a, err := n.callNode(ctx, membership.Addr(addr), usageOperation, body)
+	a, err := n.callNode(ctx, dirsync.Addr(addr), usageOperation, body)
 	if err != nil {
 		return nil, err
 	}
