--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -83,12 +83,12 @@
 		}
 	}
 	for _, x := range k {
-		fatal := false
+		crashed := false
 		for _, e := range x.ends {
-			fatal = fatal || (e.Isolated && !e.Answered)
+			crashed = crashed || (e.Isolated && !e.Answered)
 		}
 		for id := range x.ends {
-			unrelated[id] = unrelated[id] && !fatal
+			unrelated[id] = unrelated[id] && !crashed
 		}
 	}
 	n := 0
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const fatal = Fingerprint(7)
+const poison = Fingerprint(7)
 
 func newTestTracker() *Tracker {
 	return NewTracker(Config{Log: &log.Logger{Handler: discard.New()}})
@@ -25,28 +25,28 @@
 func TestQuarantineAfterThreeEnds(t *testing.T) {
 	Convey("Free, suspect, isolated, quarantined", t, func() {
 		b := newTestTracker()
-		So(b.Stage(fatal, "a"), ShouldEqual, Free)
-		So(b.RecordEnd(fatal, newEnd(1, "a")), ShouldBeTrue)
-		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-		b.RecordEnd(fatal, newEnd(2, "a"))
-		So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-		b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
-		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-		So(b.Remaining(fatal, "a"), ShouldBeBetween, Term-time.Second, Term+1)
+		So(b.Stage(poison, "a"), ShouldEqual, Free)
+		So(b.RecordEnd(poison, newEnd(1, "a")), ShouldBeTrue)
+		So(b.Stage(poison, "a"), ShouldEqual, Suspect)
+		b.RecordEnd(poison, newEnd(2, "a"))
+		So(b.Stage(poison, "a"), ShouldEqual, Isolated)
+		b.RecordEnd(poison, newIsolatedEnd(3, "a"))
+		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+		So(b.Remaining(poison, "a"), ShouldBeBetween, Term-time.Second, Term+1)
 		So(b.Count(Quarantined), ShouldEqual, 1)
 	})
 	Convey("An end recorded twice, by the nodes at both sides of a call, counts once", t, func() {
 		b := newTestTracker()
-		b.RecordEnd(fatal, newEnd(1, "a"))
-		So(b.RecordEnd(fatal, newEnd(1, "a")), ShouldBeFalse)
-		So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
+		b.RecordEnd(poison, newEnd(1, "a"))
+		So(b.RecordEnd(poison, newEnd(1, "a")), ShouldBeFalse)
+		So(b.Stage(poison, "a"), ShouldEqual, Suspect)
 	})
 	Convey("If quarantine is off, the request remains free", t, func() {
 		b := NewTracker(Config{Disabled: true, Log: &log.Logger{Handler: discard.New()}})
 		for i := range 5 {
-			b.RecordEnd(fatal, newIsolatedEnd(EndID(i+1), "a"))
+			b.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
 		}
-		So(b.Stage(fatal, "a"), ShouldEqual, Free)
+		So(b.Stage(poison, "a"), ShouldEqual, Free)
 	})
 }
 
@@ -56,22 +56,22 @@
 		Convey("The request is quarantined for provisionalTerm, then isolated until it is answered", t, func() {
 			b := newTestTracker()
 			for i := range 5 {
-				b.RecordEnd(fatal, newEnd(EndID(i+1), "a"))
+				b.RecordEnd(poison, newEnd(EndID(i+1), "a"))
 			}
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-			So(b.Remaining(fatal, "a"), ShouldEqual, provisionalTerm)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(b.Remaining(poison, "a"), ShouldEqual, provisionalTerm)
 			time.Sleep(provisionalTerm)
-			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			So(b.RecordAnswer(fatal, "a"), ShouldBeTrue)
-			So(b.Stage(fatal, "a"), ShouldEqual, Free)
-			So(b.RecordAnswer(fatal, "a"), ShouldBeFalse)
+			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
+			So(b.RecordAnswer(poison, "a"), ShouldBeTrue)
+			So(b.Stage(poison, "a"), ShouldEqual, Free)
+			So(b.RecordAnswer(poison, "a"), ShouldBeFalse)
 			// Ends after the answer count from zero.
-			b.RecordEnd(fatal, newEnd(11, "a"))
-			So(b.Stage(fatal, "a"), ShouldEqual, Suspect)
-			b.RecordEnd(fatal, newEnd(12, "a"))
-			b.RecordEnd(fatal, newIsolatedEnd(13, "a"))
+			b.RecordEnd(poison, newEnd(11, "a"))
+			So(b.Stage(poison, "a"), ShouldEqual, Suspect)
+			b.RecordEnd(poison, newEnd(12, "a"))
+			b.RecordEnd(poison, newIsolatedEnd(13, "a"))
 			time.Sleep(provisionalTerm)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
@@ -81,41 +81,41 @@
 func TestSameRequestFromAnotherCaller(t *testing.T) {
 	quarantinedTracker := func() *Tracker {
 		b := newTestTracker()
-		b.RecordEnd(fatal, newEnd(1, "a"))
-		b.RecordEnd(fatal, newEnd(2, "a"))
-		b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
+		b.RecordEnd(poison, newEnd(1, "a"))
+		b.RecordEnd(poison, newEnd(2, "a"))
+		b.RecordEnd(poison, newIsolatedEnd(3, "a"))
 		time.Sleep(provisionalTerm)
 		return b
 	}
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Another caller's request runs isolated after a minute and is free once answered; other callers' requests are not cleared", t, func() {
 			b := quarantinedTracker()
-			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
-			So(b.Remaining(fatal, "b"), ShouldEqual, time.Minute-provisionalTerm)
-			So(b.Remaining(fatal, "a"), ShouldEqual, Term-provisionalTerm)
+			So(b.Stage(poison, "b"), ShouldEqual, Quarantined)
+			So(b.Remaining(poison, "b"), ShouldEqual, time.Minute-provisionalTerm)
+			So(b.Remaining(poison, "a"), ShouldEqual, Term-provisionalTerm)
 			time.Sleep(time.Minute)
-			So(b.Stage(fatal, "b"), ShouldEqual, Isolated)
-			b.RecordAnswer(fatal, "b")
-			So(b.Stage(fatal, "b"), ShouldEqual, Free)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
-			So(b.Stage(fatal, "c"), ShouldEqual, Isolated)
+			So(b.Stage(poison, "b"), ShouldEqual, Isolated)
+			b.RecordAnswer(poison, "b")
+			So(b.Stage(poison, "b"), ShouldEqual, Free)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "c"), ShouldEqual, Isolated)
 		})
 		Convey("If it ends one more instance, it is quarantined for all callers", t, func() {
 			b := quarantinedTracker()
 			time.Sleep(time.Minute)
-			b.RecordEnd(fatal, newIsolatedEnd(4, "b"))
+			b.RecordEnd(poison, newIsolatedEnd(4, "b"))
 			time.Sleep(Term)
-			So(b.Stage(fatal, "b"), ShouldEqual, Quarantined)
-			So(b.Stage(fatal, "c"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "b"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "c"), ShouldEqual, Quarantined)
 		})
 		Convey("A caller that was answered before is not affected", t, func() {
 			b := newTestTracker()
-			b.RecordEnd(fatal, newEnd(1, "a"))
-			b.RecordAnswer(fatal, "b")
-			b.RecordEnd(fatal, newEnd(2, "a"))
-			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
-			So(b.Stage(fatal, "b"), ShouldEqual, Free)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			b.RecordEnd(poison, newEnd(1, "a"))
+			b.RecordAnswer(poison, "b")
+			b.RecordEnd(poison, newEnd(2, "a"))
+			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
+			So(b.Stage(poison, "b"), ShouldEqual, Free)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
@@ -129,33 +129,33 @@
 			for i := range unrelated {
 				b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 			}
-			b.RecordEnd(fatal, newEnd(1, "a"))
-			b.RecordEnd(fatal, newEnd(2, "a"))
-			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
+			b.RecordEnd(poison, newEnd(1, "a"))
+			b.RecordEnd(poison, newEnd(2, "a"))
+			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
 			time.Sleep(provisionalTerm)
 			return b
 		}
 		Convey("With two unrelated ends, one conclusive end is enough", t, func() {
-			So(trackerWithUnrelatedEnds(2).Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(trackerWithUnrelatedEnds(2).Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, the request runs isolated again until a second conclusive end", t, func() {
 			b := trackerWithUnrelatedEnds(3)
-			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.RecordEnd(fatal, newIsolatedEnd(4, "a"))
+			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
+			b.RecordEnd(poison, newIsolatedEnd(4, "a"))
 			time.Sleep(provisionalTerm)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, an answer clears the request", t, func() {
 			b := trackerWithUnrelatedEnds(3)
-			b.RecordAnswer(fatal, "a")
-			So(b.Stage(fatal, "a"), ShouldEqual, Free)
+			b.RecordAnswer(poison, "a")
+			So(b.Stage(poison, "a"), ShouldEqual, Free)
 		})
 		Convey("Ends attributed to another request are not unrelated", t, func() {
 			b := trackerWithUnrelatedEnds(3)
 			for i := range 3 {
 				b.RecordEnd(9, newIsolatedEnd(EndID(100+i), "a"))
 			}
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
@@ -170,23 +170,23 @@
 			b.RecordEnd(harmless, newEnd(1, "a"))
 			b.RecordEnd(harmless, newEnd(2, "a"))
 			b.RecordEnd(harmless, newIsolatedEnd(3, "a"))
-			b.RecordEnd(fatal, newEnd(3, "a"))
+			b.RecordEnd(poison, newEnd(3, "a"))
 			time.Sleep(provisionalTerm)
 			return b
 		}
 		Convey("Once the other request is known, it is quarantined and the harmless one runs isolated", t, func() {
 			b := trackerWithSharedEnd()
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
-			b.RecordEnd(fatal, newEnd(4, "a"))
-			b.RecordEnd(fatal, newIsolatedEnd(5, "a"))
+			b.RecordEnd(poison, newEnd(4, "a"))
+			b.RecordEnd(poison, newIsolatedEnd(5, "a"))
 			time.Sleep(provisionalTerm)
 			So(b.Stage(harmless, "a"), ShouldEqual, Isolated)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("Not if the other request has since been answered", t, func() {
 			b := trackerWithSharedEnd()
-			b.RecordEnd(fatal, newIsolatedEnd(5, "a"))
-			b.RecordAnswer(fatal, "a")
+			b.RecordEnd(poison, newIsolatedEnd(5, "a"))
+			b.RecordAnswer(poison, "a")
 			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
 		})
 	})
@@ -197,21 +197,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The request runs isolated after its term, and a further end doubles the term", t, func() {
 			b := newTestTracker()
-			b.RecordEnd(fatal, newEnd(1, "a"))
-			b.RecordEnd(fatal, newEnd(2, "a"))
-			b.RecordEnd(fatal, newIsolatedEnd(3, "a"))
+			b.RecordEnd(poison, newEnd(1, "a"))
+			b.RecordEnd(poison, newEnd(2, "a"))
+			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
 			time.Sleep(Term - time.Second)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
-			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
-			b.RecordEnd(fatal, newIsolatedEnd(4, "a"))
+			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
+			b.RecordEnd(poison, newIsolatedEnd(4, "a"))
 			time.Sleep(2*Term - time.Second)
-			So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
-			So(b.Stage(fatal, "a"), ShouldEqual, Isolated)
+			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
 			time.Sleep(recordTTL)
 			b.RecordEnd(1, newEnd(5, "a"))
-			So(b.Stage(fatal, "a"), ShouldEqual, Free)
+			So(b.Stage(poison, "a"), ShouldEqual, Free)
 			So(len(b.records), ShouldEqual, 1)
 		})
 	})
@@ -222,7 +222,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Both nodes drop the record after recordTTL", t, func() {
 			a, b := newTestTracker(), newTestTracker()
-			a.RecordEnd(fatal, newEnd(1, "a"))
+			a.RecordEnd(poison, newEnd(1, "a"))
 			for range 60 {
 				b.Merge(a.ChangesSince(Cursor{}))
 				a.Merge(b.ChangesSince(Cursor{}))
@@ -240,25 +240,25 @@
 	Convey("Quarantined requests are evicted last", t, func() {
 		b := newTestTracker()
 		for i := range 3 {
-			b.RecordEnd(fatal, newIsolatedEnd(EndID(i+1), "a"))
+			b.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
 		}
 		for i := range 2 * maxRecords {
 			b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 		}
 		So(len(b.records), ShouldBeLessThanOrEqualTo, maxRecords)
-		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 	})
 	Convey("Answered ends of a request are replaced first", t, func() {
 		b := newTestTracker()
 		for i := range 3 * maxEnds {
-			b.RecordEnd(fatal, newEnd(EndID(i+1), "a"))
-			b.RecordAnswer(fatal, "a")
+			b.RecordEnd(poison, newEnd(EndID(i+1), "a"))
+			b.RecordAnswer(poison, "a")
 		}
 		for i := range 3 {
-			b.RecordEnd(fatal, newIsolatedEnd(EndID(1000+i), "a"))
+			b.RecordEnd(poison, newIsolatedEnd(EndID(1000+i), "a"))
 		}
-		So(len(b.records[fatal].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
-		So(b.Stage(fatal, "a"), ShouldEqual, Quarantined)
+		So(len(b.records[poison].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
+		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
 	})
 }
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -31,11 +31,10 @@
 )
 
 type (
-	// simulation runs a service's instances under mostly harmless
-	// requests, each with its own fingerprint, and a few fatal ones that
-	// end every instance that runs them. Each instance has a node with a
-	// Tracker. Changes to one Tracker reach the others after the
-	// propagation delay.
+	// simulation runs a service's instances under mostly harmless requests,
+	// each with its own fingerprint, and a few poison ones that end every
+	// instance that runs them. Each instance has a node with a Tracker. Changes
+	// to one Tracker reach the others after the propagation delay.
 	simulation struct {
 		rng             *rand.Rand
 		trackers        []*Tracker
@@ -46,7 +45,7 @@
 		next       Fingerprint // of the next harmless request
 		scheduled  []func()    // to be called at the next tick
 		bystanders []Fingerprint
-		fatalRuns  map[Fingerprint]int // number of times each fatal request ran
+		poisonRuns map[Fingerprint]int // number of times each poison request ran
 		ended      map[Fingerprint][]time.Time
 		lateEnds   map[Fingerprint]int // ends later than convergenceTime after the third
 		lastID     EndID
@@ -61,14 +60,14 @@
 	execution struct {
 		fingerprint Fingerprint
 		caller      Caller
-		fatal       bool
+		poison      bool
 		stage       Stage     // at the start
-		endsAt      time.Time // end of the execution or, if fatal, of the instance
+		endsAt      time.Time // end of the execution or, if poison, of the instance
 	}
 )
 
 func newSimulation(seed uint64, instances int, propagation time.Duration) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, fatalRuns: map[Fingerprint]int{}, ended: map[Fingerprint][]time.Time{}, lateEnds: map[Fingerprint]int{}}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, poisonRuns: map[Fingerprint]int{}, ended: map[Fingerprint][]time.Time{}, lateEnds: map[Fingerprint]int{}}
 	for i := range instances {
 		s.trackers = append(s.trackers, newTestTracker())
 		s.instances = append(s.instances, &instance{name: strconv.Itoa(i), upSince: time.Now()})
@@ -77,7 +76,7 @@
 }
 
 // arrive simulates a request at a node, which routes it to an instance.
-func (s *simulation) arrive(f Fingerprint, fatal bool, node int) {
+func (s *simulation) arrive(f Fingerprint, poison bool, node int) {
 	caller := Caller("a")
 	if node%2 == 1 {
 		caller = "b"
@@ -93,7 +92,7 @@
 	if stage == Quarantined || len(candidates) == 0 {
 		return
 	}
-	e := &execution{fingerprint: f, caller: caller, fatal: fatal}
+	e := &execution{fingerprint: f, caller: caller, poison: poison}
 	if stage == Isolated {
 		s.runIsolated(e)
 		return
@@ -141,8 +140,8 @@
 		return
 	}
 	work := workTime
-	if e.fatal {
-		s.fatalRuns[e.fingerprint]++
+	if e.poison {
+		s.poisonRuns[e.fingerprint]++
 		work = time.Duration(30+s.rng.IntN(100)) * time.Millisecond
 	}
 	e.endsAt = time.Now().Add(work)
@@ -177,7 +176,7 @@
 		switch {
 		case e.endsAt.After(now):
 			remaining = append(remaining, e)
-		case e.fatal:
+		case e.poison:
 			crash = true
 			remaining = append(remaining, e)
 		default:
@@ -205,7 +204,7 @@
 	for _, e := range in.executions {
 		b.RecordEnd(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
 		fingerprints = append(fingerprints, e.fingerprint)
-		if !e.fatal {
+		if !e.poison {
 			s.bystanders = append(s.bystanders, e.fingerprint)
 			continue
 		}
@@ -218,7 +217,7 @@
 	s.propagate(b, fingerprints...)
 	for _, e := range interrupted {
 		at := s.rng.IntN(len(s.trackers))
-		s.schedule(retryDelay, func() { s.arrive(e.fingerprint, e.fatal, at) }) // retry by the caller
+		s.schedule(retryDelay, func() { s.arrive(e.fingerprint, e.poison, at) }) // retry by the caller
 	}
 }
 
@@ -233,9 +232,9 @@
 	})
 }
 
-// run simulates harmless requests at a rate per second, and a fatal one at each
-// interval, for a duration.
-func (s *simulation) run(d time.Duration, rate float64, fatal []Fingerprint, interval time.Duration) {
+// run simulates harmless requests at a rate per second, and a poison one at
+// each interval, for a duration.
+func (s *simulation) run(d time.Duration, rate float64, poison []Fingerprint, interval time.Duration) {
 	due := 0.0
 	for elapsed := time.Duration(0); elapsed < d; elapsed += tick {
 		for due += rate * tick.Seconds(); due >= 1; due-- {
@@ -243,7 +242,7 @@
 			s.arrive(s.next, false, s.rng.IntN(len(s.trackers)))
 		}
 		if interval > 0 && elapsed%interval == 0 {
-			s.arrive(fatal[int(elapsed/interval)%len(fatal)], true, s.rng.IntN(len(s.trackers)))
+			s.arrive(poison[int(elapsed/interval)%len(poison)], true, s.rng.IntN(len(s.trackers)))
 		}
 		pending := s.scheduled
 		s.scheduled = nil
@@ -277,13 +276,13 @@
 type scenario struct {
 	instances       int
 	propagation     time.Duration
-	fatal           []Fingerprint
+	poison          []Fingerprint
 	interval        time.Duration
 	spontaneousEnds float64
 }
 
 func (c scenario) run(t *testing.T, seed uint64) {
-	name := fmt.Sprintf("%d instances, propagation %s, %d fatal every %s, %.1f spontaneous ends/s, seed %d", c.instances, c.propagation, len(c.fatal), c.interval, c.spontaneousEnds, seed)
+	name := fmt.Sprintf("%d instances, propagation %s, %d poison requests every %s, %.1f spontaneous ends/s, seed %d", c.instances, c.propagation, len(c.poison), c.interval, c.spontaneousEnds, seed)
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSimulation(seed, c.instances, c.propagation)
@@ -291,24 +290,24 @@
 			rate := 40 * float64(c.instances)
 			Convey(name, t, func() {
 				s.run(time.Second, rate, nil, 0)
-				s.run(40*time.Second, rate, c.fatal, c.interval)
+				s.run(40*time.Second, rate, c.poison, c.interval)
 				s.run(10*time.Second, rate, nil, 0)
-				for _, f := range c.fatal {
+				for _, f := range c.poison {
 					So(len(s.ended[f]), ShouldBeGreaterThanOrEqualTo, 3)
 					So(s.lateEnds[f], ShouldBeLessThanOrEqualTo, maxLateEnds)
 					So(s.worstStage(f), ShouldEqual, Quarantined)
 				}
 				So(s.quarantinedBystanders(), ShouldEqual, 0)
 			})
-			t.Logf("%d bystanders, fatal runs %v, late ends %v", len(s.bystanders), s.fatalRuns, s.lateEnds)
+			t.Logf("%d bystanders, poison runs %v, late ends %v", len(s.bystanders), s.poisonRuns, s.lateEnds)
 		})
 	})
 }
 
-// Fatal requests end instances with sixty others in progress each, and callers
-// retry at once. With slow propagation, several fatal requests or spontaneous
+// Poison requests end instances with sixty others in progress each, and callers
+// retry at once. With slow propagation, several poison requests or spontaneous
 // ends, few more instances may end, and no harmless request may be quarantined.
-func TestFatalRequestsAreContained(t *testing.T) {
+func TestPoisonRequestsAreContained(t *testing.T) {
 	for _, c := range []scenario{
 		{6, 30 * time.Millisecond, []Fingerprint{1}, 300 * time.Millisecond, 0},
 		{6, time.Second, []Fingerprint{1}, 500 * time.Millisecond, 0},
@@ -328,9 +327,9 @@
 	withSpontaneousEnds = scenario{6, 30 * time.Millisecond, []Fingerprint{1}, 400 * time.Millisecond, 0.5}
 )
 
-// A harmless request that ran isolated beside a fatal one not yet known must
-// not stay quarantined once the fatal one has ended other instances.
-func TestThreeConcurrentFatalRequests(t *testing.T) {
+// A harmless request that ran isolated beside a poison one not yet known must
+// not stay quarantined once the poison one has ended other instances.
+func TestThreeConcurrentPoisonRequests(t *testing.T) {
 	for _, seed := range []uint64{35, 42, 54, 90} {
 		threeConcurrent.run(t, seed)
 	}
@@ -338,13 +337,13 @@
 
 // An instance ends spontaneously every two seconds. A harmless request that was
 // isolated at such an end must not be quarantined for a full term.
-func TestFatalRequestAmongSpontaneousEnds(t *testing.T) {
+func TestPoisonRequestAmongSpontaneousEnds(t *testing.T) {
 	withSpontaneousEnds.run(t, 43)
 }
 
 // All nodes restart without state while a request is quarantined. It may end
 // three instances again, and a fourth if another caller sends it.
-func TestFatalRequestAfterFullRestart(t *testing.T) {
+func TestPoisonRequestAfterFullRestart(t *testing.T) {
 	for _, seed := range restartSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	fatalPath = "/read/fatal"
-	// crashAfter is the time from the start of a fatal request to the crash.
+	poisonPath = "/read/fatal"
+	// crashAfter is the time from the start of a poison request to the crash.
 	crashAfter = 20 * time.Millisecond
 	// restartAfter is the time from a crash until the target listens again.
 	restartAfter = 300 * time.Millisecond
@@ -32,7 +32,7 @@
 )
 
 // crashMesh is a mesh in which the targets of one service crash on requests
-// with a fatal path and restart with a new instance id.
+// with a poison path and restart with a new instance id.
 type crashMesh struct {
 	*mesh
 	crashing []*vm
@@ -54,15 +54,15 @@
 	f := &crashMesh{mesh: m.populate(services), revision: 100}
 	f.crashing = f.vms[1:]
 	for _, v := range f.crashing {
-		f.crashOnFatal(v)
+		f.crashOnPoison(v)
 	}
 	t.Cleanup(f.restarts.Wait)
 	return f
 }
 
-// crashOnFatal makes v's target crash on fatal requests. Other requests take
+// crashOnPoison makes v's target crash on poison requests. Other requests take
 // some time and are cut by a crash.
-func (f *crashMesh) crashOnFatal(v *vm) {
+func (f *crashMesh) crashOnPoison(v *vm) {
 	target := v.target
 	target.handleWith(func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "fatal") {
@@ -101,7 +101,7 @@
 		f.t.Error(err)
 		return
 	}
-	f.crashOnFatal(v)
+	f.crashOnPoison(v)
 	v.serve(l)
 	old := v.self.ID
 	f.revision++
@@ -132,7 +132,7 @@
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := newCrashMesh(t, 5)
 	Convey("After the third crash few instances execute it, for reads and actions", t, func() {
-		for _, path := range []string{fatalPath, "/publish/fatal"} {
+		for _, path := range []string{poisonPath, "/publish/fatal"} {
 			before := f.crashCount()
 			for i := 0; f.crashCount() < before+3 && i < 20; i++ {
 				f.sendTo(path, i)
@@ -166,7 +166,7 @@
 				wg.Go(func() { f.get(v, "/read/beside-all") })
 			}
 			time.Sleep(crashAfter / 2)
-			f.sendTo(fatalPath, i)
+			f.sendTo(poisonPath, i)
 			wg.Wait()
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -183,11 +183,11 @@
 func TestNodesShareSuspectRequests(t *testing.T) {
 	f := newCrashMesh(t, 5)
 	knows := func(v *vm) bool {
-		qs := quarantineStateAt(v.node, fatalPath)
+		qs := quarantineStateAt(v.node, poisonPath)
 		return v.node.stage(qs) >= quarantine.Suspect
 	}
 	Convey("All nodes know within a second, and so does a new node", t, func() {
-		f.sendTo(fatalPath, 0)
+		f.sendTo(poisonPath, 0)
 		So(f.crashCount(), ShouldBeGreaterThan, 0)
 		deadline := time.Now().Add(time.Second)
 		for _, v := range f.vms {
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -38,11 +38,11 @@
 }
 
 func (n *Node) collectors() (own []account.Source, others [][]account.Source, total int) {
-	near, far, total := n.dirSync.Collectors()
-	for _, dc := range far {
+	localAddrs, remoteAddrs, total := n.dirSync.Collectors()
+	for _, dc := range remoteAddrs {
 		others = append(others, sources(dc))
 	}
-	return sources(near), others, total
+	return sources(localAddrs), others, total
 }
 
 func sources(addrs []dirsync.Addr) []account.Source {
