--- a/vouch/checker_test.go
+++ b/vouch/checker_test.go
@@ -84,13 +84,13 @@
 		Convey("Neither an unseen, another nor a leaving start is vouched for", t, func() {
 			e := newFakeEnv()
 			So(NewChecker(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
-			witness := e.newChecker()
-			So(witness.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
-			So(witness.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
-			So(witness.Vouch(t.Context(), e.start()), ShouldBeTrue)
+			checker := e.newChecker()
+			So(checker.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
+			So(checker.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
+			So(checker.Vouch(t.Context(), e.start()), ShouldBeTrue)
 			e.instance.Leaving = true
-			witness.Observe(e.instance)
-			So(witness.Vouch(t.Context(), e.start()), ShouldBeFalse)
+			checker.Observe(e.instance)
+			So(checker.Vouch(t.Context(), e.start()), ShouldBeFalse)
 		})
 	})
 }
@@ -102,10 +102,10 @@
 		Convey("A hundred nodes cause at most five checks in two seconds", t, func() {
 			e := newFakeEnv()
 			e.sourceLatency = 100 * time.Millisecond
-			witness := e.newChecker()
+			checker := e.newChecker()
 			for range 4 {
 				for range 100 {
-					go witness.Vouch(t.Context(), e.start())
+					go checker.Vouch(t.Context(), e.start())
 				}
 				time.Sleep(RenewInterval)
 			}
