--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -39,7 +39,7 @@
 			return err
 		}
 		defer closer.Close()
-		n := node.New(node.Config{Settings: s, Log: lg, Skew: s.ClockSkew})
+		n := node.New(node.Config{Settings: s, Log: lg, ClockSkew: s.ClockSkew})
 		return runUntilSignal(n.Serve, func(ctx context.Context) { n.Shutdown(ctx) })
 	},
 }
@@ -65,16 +65,16 @@
 			return err
 		}
 		defer closer.Close()
-		t := target.New(target.Config{Service: s.Service, Graph: g, Node: s.Node, ColdStart: s.ColdStart, HealthLag: s.HealthLag})
+		t := target.New(target.Config{Service: s.Service, Graph: g, NodeURL: s.Node, ColdStart: s.ColdStart, HealthLag: s.HealthLag})
 		l, err := net.Listen("tcp", s.HTTP)
 		if err != nil {
 			return eris.Wrapf(err, "listen http %s", s.HTTP)
 		}
 		lg.WithField("http", s.HTTP).Info("target_started")
 		defer lg.Info("target_stopped")
-		return serveHTTP(t.Limit(l), t.Handler(), func() {
+		return serveHTTP(t.LimitConnections(l), t.Handler(), func() {
 			lg.Info("target_leaving")
-			t.Leave()
+			t.DrainAndWait()
 		})
 	},
 }
@@ -100,7 +100,7 @@
 			return err
 		}
 		defer closer.Close()
-		p, err := configservice.New(configservice.Config{Text: text, Log: lg})
+		p, err := configservice.New(configservice.Config{InitialConfig: text, Log: lg})
 		if err != nil {
 			return err
 		}
--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -28,7 +28,7 @@
 	n := 0
 	for name, tg := range m.Targets {
 		if strings.HasPrefix(name, "versand") {
-			n += tg.Effects()[key]
+			n += tg.CommitCounts()[key]
 		}
 	}
 	return n
@@ -84,7 +84,7 @@
 		st = callKeyed(t, entryURL(m, "entwurf", 0), "versand", "dispatch", next)
 		So(st, ShouldEqual, call.OK)
 		So(dispatchCount(m, next), ShouldEqual, 1)
-		So(m.Targets["versand-1"].Effects()[next], ShouldEqual, 0)
+		So(m.Targets["versand-1"].CommitCounts()[next], ShouldEqual, 0)
 	})
 }
 
@@ -93,7 +93,7 @@
 // second time in another data centre.
 func TestPartitionedDCServesLocalCalls(t *testing.T) {
 	c := &partition{dc: "halle-nord", dcByAddr: map[string]callgraph.DC{}}
-	m := startMeshWith(t, demo.Config{Text: examples.KesslerRaab, Dial: c.dial})
+	m := startMeshWith(t, demo.Config{InitialConfig: examples.KesslerRaab, Dial: c.dial})
 	for _, s := range m.Graph.Services {
 		for _, in := range s.Instances {
 			c.dcByAddr[in.Peer] = in.DC
@@ -136,7 +136,7 @@
 		g := fakeGraph(t, "idempotent = false", startFakePeer(t, disconnect))
 		base := startNode(t, g, "back-1", "http://127.0.0.1:1")
 		req, _ := http.NewRequest(http.MethodPost, base+"/v1/call/back/op", nil)
-		req.Header.Set(call.HeaderKey, "release-4711")
+		req.Header.Set(call.HeaderIdempotencyKey, "release-4711")
 		resp, err := http.DefaultClient.Do(req)
 		So(err, ShouldBeNil)
 		resp.Body.Close()
--- a/node/outbound_call.go
+++ b/node/outbound_call.go
@@ -25,8 +25,8 @@
 	r.To = instance
 	r.Sent = time.Now()
 	r.Remaining = time.Until(s.deadline)
-	r.Budget = s.attemptBudget()
-	r.Passed = s.declinedBy
+	r.RetryBudget = s.attemptBudget()
+	r.DeclinedBy = s.declinedBy
 	return r
 }
 
@@ -36,7 +36,7 @@
 // it could never be retried.
 func (s *outboundCall) attemptBudget() int {
 	left := s.lease - s.spent
-	if s.op.Retries > 0 && left > 1 {
+	if s.op.MaxRetries > 0 && left > 1 {
 		return left - 1
 	}
 	return left
--- a/owner/arbiter.go
+++ b/owner/arbiter.go
@@ -83,7 +83,7 @@
 	now := time.Now()
 	appliedAt := now
 	if len(a.graphs) == 0 {
-		appliedAt = g.Accepted
+		appliedAt = g.AcceptedAt
 		if g.Version == firstVersion {
 			appliedAt = time.Time{}
 		}
@@ -121,7 +121,7 @@
 // retry follows the time in the key, so an instance whose process and rank are
 // older than the key has seen all of them.
 func (a *Arbiter) Claim(service string, key call.Key, declined []string) Verdict {
-	made, err := key.Made()
+	made, err := key.Created()
 	if err != nil {
 		return Uncertain
 	}
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -71,7 +71,7 @@
 }
 
 func (f *fleet) submit(instances []callgraph.Instance) {
-	f.graphs = append(f.graphs, &callgraph.Graph{Version: callgraph.Version(len(f.graphs) + 1), Accepted: time.Now(),
+	f.graphs = append(f.graphs, &callgraph.Graph{Version: callgraph.Version(len(f.graphs) + 1), AcceptedAt: time.Now(),
 		Services: map[string]*callgraph.Service{"versand": {Name: "versand", Instances: slices.Clone(instances)}}})
 }
 
@@ -84,7 +84,7 @@
 		p.handler = filter.Chain(filter.HandlerFunc(func(_ context.Context, c *filter.Call) call.Answer {
 			f.runs[c.Request.Key]++
 			return call.Answer{Status: call.OK}
-		}), filter.NewDedup(window, 1<<20).Filter(), filter.Owner(p.arbiter), filter.Drain(&p.leaving))
+		}), filter.NewDedup(window, 1<<20).Filter(), filter.KeyOwnership(p.arbiter), filter.Drain(&p.leaving))
 	}
 	p.apply(f.graphs[len(f.graphs)-1])
 	return p
@@ -122,7 +122,7 @@
 // fails at an unreachable instance. With pause, the instance delays the call
 // until Wake.
 func (f *fleet) send(router *process, key call.Key, unreachable map[string]bool, pause bool) bool {
-	made, _ := key.Made()
+	made, _ := key.Created()
 	var declined []string
 	for {
 		in, ok := owner.Next(router.graph.Services["versand"].Instances, key, declined, func(name string) bool {
@@ -131,7 +131,7 @@
 		if !ok || unreachable[in.Name] {
 			return false
 		}
-		p, req := f.nodes[in.Name], &call.Request{Service: "versand", Key: key, Passed: slices.Clone(declined), Remaining: time.Minute}
+		p, req := f.nodes[in.Name], &call.Request{Service: "versand", Key: key, DeclinedBy: slices.Clone(declined), Remaining: time.Minute}
 		serve := func() call.Answer {
 			return p.handler.Serve(context.Background(), &filter.Call{Request: req, Op: &callgraph.Operation{}})
 		}
@@ -163,7 +163,7 @@
 	f.each(func(name string, p *process) {
 		newest := f.graphs[len(f.graphs)-1]
 		for _, g := range f.graphs {
-			if time.Since(g.Accepted) >= graphLag {
+			if time.Since(g.AcceptedAt) >= graphLag {
 				p.apply(g)
 			}
 		}
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/message"
 	"github.com/oatpin/oatpin/quarantine"
 	"github.com/oatpin/oatpin/wire"
@@ -42,13 +42,13 @@
 	Wait     time.Duration // long-poll limit
 	// The position up to which the sender has received the peer's quarantine
 	// records; nil from a node that keeps none.
-	Told *quarantine.Cursor
+	Cursor *quarantine.Cursor
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (req *deltaRequest) DecodeMsgpack(d *msgpack.Decoder) error {
 	*req = deltaRequest{}
-	return message.Decode(d, (*uint64)(&req.After), &req.Wait, &req.Told)
+	return message.DecodeArray(d, (*uint64)(&req.After), &req.Wait, &req.Cursor)
 }
 
 // onPeerRevision handles the directory revision in a peer's response. If the
@@ -70,21 +70,21 @@
 		if directory.Revision(rev) <= from {
 			return
 		}
-		delta, err := n.Since(context.Background(), membership.Addr(p.Addr), from, 0)
+		delta, err := n.Since(context.Background(), dirsync.Addr(p.Addr), from, 0)
 		if err != nil {
-			n.decisions.Note("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
+			n.decisions.Log("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
 			return
 		}
 		if n.dir.ApplyDelta(delta) {
-			n.decisions.Note("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
+			n.decisions.Log("caught_up", func() log.Fields { return log.Fields{"peer": p.Addr, "from": from, "to": delta.Revision} })
 		}
 	}()
 }
 
-// Since implements membership.Peers.
-func (n *Node) Since(ctx context.Context, addr membership.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
+// Since implements dirsync.Peers.
+func (n *Node) Since(ctx context.Context, addr dirsync.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
 	var none directory.Delta
-	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Told: n.peerCursors.get(addr)})
+	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Cursor: n.peerCursors.get(addr)})
 	if err != nil {
 		return none, eris.Wrap(err, "encode directory request")
 	}
@@ -101,7 +101,7 @@
 	if a.Status != call.OK {
 		return none, eris.Wrap(errNoDirectory, a.Reason)
 	}
-	n.applyUpdate(addr, a.News)
+	n.applyUpdate(addr, a.Piggyback)
 	delta, err := directory.Decode(a.Body)
 	if err != nil {
 		n.stats.countDecodeError()
@@ -111,7 +111,7 @@
 
 // dial returns a connection to a peer for a node operation.
 func (n *Node) dial(ctx context.Context, p wire.Peer) (*wire.Conn, error) {
-	return n.peers.GetWithin(ctx, p, dialWait)
+	return n.peers.GetTimeout(ctx, p, dialWait)
 }
 
 // serveSince handles sinceOperation. A pending long poll returns immediately
@@ -124,9 +124,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.untilDrain, cancel)()
-	n.member.PeerPolled()
-	if req.Told != nil {
-		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Told), cancel)
+	n.dirSync.PeerPolled()
+	if req.Cursor != nil {
+		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Cursor), cancel)
 	}
 	delta := n.dir.Await(ctx, req.After, min(req.Wait, maxPollWait))
 	if _, draining := n.drainingSince(); draining || !n.dir.HasSnapshot() {
@@ -137,14 +137,14 @@
 		n.log.WithError(err).Error("delta_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
 	}
-	return call.Answer{ID: r.ID, Status: call.OK, Body: b, News: n.encodeUpdate(req.Told)}
+	return call.Answer{ID: r.ID, Status: call.OK, Body: b, Piggyback: n.encodeUpdate(req.Cursor)}
 }
 
 // malformedAnswer returns the response to an operation whose body cannot be
 // decoded.
 func (n *Node) malformedAnswer(r call.Request, err error) call.Answer {
 	n.stats.countDecodeError()
-	n.decisions.Note("question_not_understood", func() log.Fields {
+	n.decisions.Log("question_not_understood", func() log.Fields {
 		return log.Fields{"operation": r.Operation, "error": err.Error()}
 	})
 	return call.Answer{ID: r.ID, Status: call.Failed, Reason: "not understood: " + err.Error()}
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -44,7 +44,7 @@
 	Convey("The target's own failures are reported, those of child requests are not", t, func() {
 		for range 10 {
 			m.vms[1].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
-				child, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.Callers+"/lookup/x", nil)
+				child, err := http.NewRequest(http.MethodGet, "http://"+m.vms[1].node.cfg.CallerAddr+"/lookup/x", nil)
 				if err != nil {
 					return
 				}
@@ -115,7 +115,7 @@
 			writeSigned(w, r, http.StatusOK, "")
 		})
 		go m.get(m.vms[0], "/read/first")
-		for v.node.gate.Load().Busy == 0 {
+		for v.node.gate.Load().InFlight == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -10,7 +10,7 @@
 	"github.com/oatpin/oatpin/account"
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/membership"
+	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
 )
 
@@ -120,10 +120,10 @@
 
 // observeQueueWait records the time that a request was queued for the local
 // target.
-func (s *stats) observeQueueWait(begun, admitted bool, d time.Duration) {
-	k := waitKey{child: begun, admitted: admitted}
+func (s *stats) observeQueueWait(child, admitted bool, d time.Duration) {
+	k := waitKey{child: child, admitted: admitted}
 	s.queueWaits.get(k, func() *metrics.Histogram {
-		return s.set.GetOrCreateHistogram(fmt.Sprintf(`oatpin_turn_wait_seconds{node=%q,begun="%t",admitted="%t"}`, s.node, begun, admitted))
+		return s.set.GetOrCreateHistogram(fmt.Sprintf(`oatpin_turn_wait_seconds{node=%q,begun="%t",admitted="%t"}`, s.node, child, admitted))
 	}).Update(d.Seconds())
 }
 
@@ -158,7 +158,7 @@
 	gauge := func(name string, f func() float64) {
 		s.set.NewGauge(fmt.Sprintf(`%s{node=%q}`, name, s.node), f)
 	}
-	gauge("oatpin_target_busy", func() float64 { return float64(n.gate.Load().Busy) })
+	gauge("oatpin_target_busy", func() float64 { return float64(n.gate.Load().InFlight) })
 	gauge("oatpin_target_queued", func() float64 { return float64(n.gate.Load().Queued) })
 	gauge("oatpin_target_limit", func() float64 { return float64(n.gate.Load().Limit) })
 	gauge("oatpin_target_failing_ratio", n.health.FailureRate)
@@ -172,15 +172,15 @@
 		s.set.NewGauge(fmt.Sprintf(`oatpin_requests_kept_apart{node=%q,stage=%q}`, s.node, st), func() float64 { return float64(n.quarantine.Count(st)) })
 	}
 	gauge("oatpin_source_away", func() float64 { return boolGauge(n.dir.SourceUnreachable()) })
-	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.member.IsReader()) })
+	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.dirSync.IsReader()) })
 	gauge("oatpin_directory_age_seconds", func() float64 { return n.dir.Age().Seconds() })
-	for name, f := range map[string]func(membership.Counts) int64{
-		"oatpin_source_reads_total":        func(c membership.Counts) int64 { return c.SourceCalls },
-		"oatpin_source_reads_failed_total": func(c membership.Counts) int64 { return c.SourceErrors },
-		"oatpin_reader_asked_total":        func(c membership.Counts) int64 { return c.PeerPolls },
-		"oatpin_reader_asked_failed_total": func(c membership.Counts) int64 { return c.PeerErrors },
+	for name, f := range map[string]func(dirsync.Counts) int64{
+		"oatpin_source_reads_total":        func(c dirsync.Counts) int64 { return c.SourceCalls },
+		"oatpin_source_reads_failed_total": func(c dirsync.Counts) int64 { return c.SourceErrors },
+		"oatpin_reader_asked_total":        func(c dirsync.Counts) int64 { return c.PeerPolls },
+		"oatpin_reader_asked_failed_total": func(c dirsync.Counts) int64 { return c.PeerErrors },
 	} {
-		gauge(name, func() float64 { return float64(f(n.member.Counts())) })
+		gauge(name, func() float64 { return float64(f(n.dirSync.Counts())) })
 	}
 }
 
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -36,7 +36,7 @@
 		bin   string
 		dir   string
 		ports struct{ peer, target, callers, ready, metrics, store int }
-		store *platform.StandIn
+		store *platform.FakeStore
 		srv   *http.Server
 		vms   []*vm
 		*callers
@@ -77,7 +77,7 @@
 // startDeployment starts six nodes of two services in two data centres, and the
 // callers.
 func startDeployment(t *testing.T, bin string, seed uint64) *deployment {
-	d := &deployment{t: t, bin: bin, dir: t.TempDir(), store: platform.NewStandIn()}
+	d := &deployment{t: t, bin: bin, dir: t.TempDir(), store: platform.NewFakeStore()}
 	d.store.Services = []directory.Service{{Name: "archiv", HealthPath: healthPath}, {Name: "versand", HealthPath: healthPath}}
 	for _, port := range []*int{&d.ports.peer, &d.ports.target, &d.ports.callers, &d.ports.ready, &d.ports.metrics, &d.ports.store} {
 		*port = freePort(t)
@@ -171,7 +171,7 @@
 	v.target, err = NewTarget(id, v.instance.Addr, platform.Headers)
 	d.must(err)
 	t := v.target
-	t.SetOnFatal(sync.OnceFunc(func() { d.crashTarget(v, t) }))
+	t.SetOnPoison(sync.OnceFunc(func() { d.crashTarget(v, t) }))
 	d.must(d.store.PutInstance(v.instance))
 }
 
@@ -217,9 +217,9 @@
 func (d *deployment) runCount(id string) int {
 	n := 0
 	for _, v := range d.vms {
-		n += v.target.Runs(id)
+		n += v.target.Executions(id)
 		for _, t := range v.previousTargets {
-			n += t.Runs(id)
+			n += t.Executions(id)
 		}
 	}
 	return n
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -102,11 +102,11 @@
 func removeLiveEntry(d *deployment, v *vm, r *rand.Rand) {
 	v.faultMu.Lock()
 	defer v.faultMu.Unlock()
-	v.storeProxy.Set(Unplug)
+	v.storeProxy.SetMode(DropAll)
 	time.Sleep(randomMillis(r, 0, 300))
 	d.store.RemoveInstance(v.instance.ID)
 	time.Sleep(randomMillis(r, 300, 2500))
-	v.storeProxy.Set(Pass)
+	v.storeProxy.SetMode(Pass)
 	time.Sleep(randomMillis(r, 0, 1500))
 	d.must(d.store.PutInstance(v.instance))
 }
@@ -116,7 +116,7 @@
 func removeWithoutDrain(d *deployment, v *vm, r *rand.Rand) {
 	v.faultMu.Lock()
 	defer v.faultMu.Unlock()
-	v.target.Leave()
+	v.target.FailHealthChecks()
 	d.store.RemoveInstance(v.instance.ID)
 	time.Sleep(randomMillis(r, 2000, 2600))
 	d.replaceTarget(v)
@@ -133,7 +133,7 @@
 func writeForeignEntries(d *deployment, v *vm, r *rand.Rand) {
 	for i, text := range []string{"\xff", `{"Address":"` + v.instance.Addr + `"}`, `{"Address":"` + v.instance.Addr +
 		`","Info":{"Service":"nobody","Version":"v1","Zone":"nord","Slots":1},"Status":{"State":"ready","Seq":1,"ColdLeft":"0ms"}}`} {
-		d.store.PutForeign(directory.InstanceID(fmt.Sprintf("foreign-%d-%d", r.IntN(5), i)), text)
+		d.store.PutRawEntry(directory.InstanceID(fmt.Sprintf("foreign-%d-%d", r.IntN(5), i)), text)
 	}
 }
 
@@ -149,9 +149,9 @@
 
 // disruptLink puts a proxy in a random mode other than Pass for a while.
 func disruptLink(p *Proxy, r *rand.Rand) {
-	p.Set(Mode(r.IntN(int(lastMode)) + 1))
+	p.SetMode(Mode(r.IntN(int(lastMode)) + 1))
 	time.Sleep(randomMillis(r, 100, 2500))
-	p.Set(Pass)
+	p.SetMode(Pass)
 }
 
 func resetConnections(_ *deployment, v *vm, _ *rand.Rand) {
@@ -159,5 +159,5 @@
 	v.storeProxy.Reset()
 }
 
-func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.ForgetHistory() }
+func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.Compact() }
 func publishRoutes(d *deployment, _ *vm, _ *rand.Rand) { d.publishRoutes() }
