--- a/sidecar/account_test.go
+++ b/sidecar/account_test.go
@@ -21,15 +21,16 @@
 )
 
 func newAccountRegistry(t testing.TB, all ...account.Account) *account.Registry {
-	b, err := account.NewRegistry(all)
+	r, err := account.NewRegistry(all)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return r
 }
 
-// newAccountMesh starts a node without targets of the routes' service and one
-// with them. Callers need the key of account large or small.
+// newAccountMesh starts a node whose target serves none of the test routes and
+// one whose target serves most of them. Callers need the key of account large
+// or small.
 func newAccountMesh(t *testing.T) *mesh {
 	m := newMesh(t, "entwurf", "archiv")
 	m.accounts = newAccountRegistry(t, large, small)
@@ -84,35 +85,35 @@
 // while a newer version may contain the key.
 func TestUnknownKeyIsRejected(t *testing.T) {
 	m := newAccountMesh(t)
-	n := m.vms[0]
+	v := m.vms[0]
 	unknown := [][]string{nil, {""}, {"Key"}, {"Key "}, {"kl"}, {"Bearer kl"}, {"Key no"}, {"Key kl,Key ks"}, {"Key kl", "Key kl"}}
 	Convey("401, and the request is not executed", t, func() {
 		for _, auth := range unknown {
-			code, got := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": auth})
+			code, got := m.sendWithHeader(t, v, "/read/x", http.Header{"Authorization": auth})
 			So(code, ShouldEqual, http.StatusUnauthorized)
 			So(got, ShouldBeNil)
 		}
 	})
 	Convey("A removed key is rejected, an added key is accepted", t, func() {
-		code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key kl"}})
+		code, _ := m.sendWithHeader(t, v, "/read/x", http.Header{"Authorization": {"Key kl"}})
 		So(code, ShouldEqual, http.StatusOK)
 		other := large
 		other.Keys = []account.Digest{account.DigestOf("kl2"), account.DigestOf("new")}
 		m.accounts = newAccountRegistry(t, other, small)
 		m.updateAll(3)
 		for key, want := range map[string]int{"kl": http.StatusUnauthorized, "kl2": http.StatusOK, "new": http.StatusOK} {
-			code, _ := m.sendWithHeader(t, n, "/read/x", http.Header{"Authorization": {"Key " + key}})
+			code, _ := m.sendWithHeader(t, v, "/read/x", http.Header{"Authorization": {"Key " + key}})
 			So(code, ShouldEqual, want)
 		}
 	})
 	Convey("While the source is unavailable, 503 with Retry-After", t, func() {
-		n.dir.SourceAnswered()
-		n.dir.SourceFailed(time.Now(), errors.New("gone"))
-		id, got := m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
+		v.dir.SourceAnswered()
+		v.dir.SourceFailed(time.Now(), errors.New("gone"))
+		id, got := m.send(context.Background(), v, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key no"})
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		So(got.header.Get("Retry-After"), ShouldNotBeEmpty)
 		So(m.vms[1].target.runCount(id), ShouldEqual, 0)
-		_, got = m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key ks"})
+		_, got = m.send(context.Background(), v, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key ks"})
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
 }
@@ -202,12 +203,12 @@
 // not executed for another reason must not count against the limit.
 func TestAccountOverRateLimitIsRefused(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv")
-	n := m.vms[0]
+	v := m.vms[0]
 	limited := account.Account{Name: "limited", Keys: []account.Digest{account.DigestOf("k")}, Rate: 4, Burst: 2}
 	m.accounts = newAccountRegistry(t, limited, small)
 	m.updateAll(2)
 	send := func(key string) (string, reply) {
-		return m.send(context.Background(), n, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
+		return m.send(context.Background(), v, http.MethodGet, "/read/x", "", map[string]string{"Authorization": "Key " + key})
 	}
 	Convey("429 with Retry-After, and the request is not executed", t, func() {
 		admitted, refused := 0, 0
@@ -230,13 +231,13 @@
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
 	Convey("A refusal for overload does not consume the limit", t, func() {
-		n.node.limiter.SetRegistry(newAccountRegistry(t, small)) // resets the usage
-		n.node.admission = admitNone{}
+		v.node.limiter.SetRegistry(newAccountRegistry(t, small)) // resets the usage
+		v.node.admission = admitLevelZero{}
 		for range 40 {
 			_, got := send("k")
 			So(got.code, ShouldEqual, http.StatusServiceUnavailable)
 		}
-		n.node.admission = admit.Unlimited{}
+		v.node.admission = admit.Unlimited{}
 		_, got := send("k")
 		So(got.code, ShouldEqual, http.StatusOK)
 	})
--- a/sidecar/bench_test.go
+++ b/sidecar/bench_test.go
@@ -25,8 +25,8 @@
 		code               int // expected status code
 	}
 
-	// admitNone refuses new requests above level 0.
-	admitNone struct{}
+	// admitLevelZero refuses new requests above level 0.
+	admitLevelZero struct{}
 )
 
 var (
@@ -35,7 +35,7 @@
 	benchRefused = benchRequest{"get", "GET", "/read/leny950/2f", 0, 0, 503}
 )
 
-func (admitNone) Threshold(string) call.Level { return 0 }
+func (admitLevelZero) Threshold(string) call.Level { return 0 }
 
 // BenchmarkRequest measures a request through two nodes to the target of the
 // second, with minimal callers and targets. The CPU time covers the whole
@@ -51,7 +51,7 @@
 // BenchmarkRefused measures a request that is refused at the entry node.
 func BenchmarkRefused(b *testing.B) {
 	m := benchMesh(b)
-	m.vms[0].node.admission = admitNone{}
+	m.vms[0].node.admission = admitLevelZero{}
 	m.runLoad(b, benchRefused, 50)
 }
 
--- a/sidecar/caller.go
+++ b/sidecar/caller.go
@@ -34,7 +34,7 @@
 	received   time.Time
 	quarantine quarantineState
 	account    *account.Account // authenticated by its key; nil for none
-	rank       int
+	rank       int              // of a new request
 	// queueDeadline limits the time that a new request waits in queues, over
 	// all attempts; zero for child requests.
 	queueDeadline time.Time
@@ -48,9 +48,9 @@
 	if _, draining := n.drainingSince(); draining {
 		w.Header().Set("Connection", "close")
 	}
-	q, refusal := n.accept(w, r)
-	if refusal != nil {
-		n.refuse(w, r, refusal)
+	q, refused := n.accept(w, r)
+	if refused != nil {
+		n.refuse(w, r, refused)
 		return
 	}
 	defer n.heldBodyBytes.Add(-int64(len(q.Body)))
@@ -103,11 +103,11 @@
 		return nil, n.noRouteRefusal()
 	}
 	if r.Header.Get(n.cfg.Headers.RequestID) == "" {
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: n.cfg.Headers.RequestID + " is missing"}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeBadHeader, reason: n.cfg.Headers.RequestID + " is missing"}
 	}
 	timeout, err := n.requestTimeout(r, rt)
 	if err != nil {
-		return nil, &refusal{code: http.StatusBadRequest, cause: causeRequest, reason: err.Error()}
+		return nil, &refusal{code: http.StatusBadRequest, cause: causeBadHeader, reason: err.Error()}
 	}
 	id := call.RequestID(r.Header.Get(n.cfg.Headers.RequestID))
 	origin := n.originOf(id, rt)
@@ -183,8 +183,9 @@
 }
 
 // admitNew refuses a new request that may outlast the shutdown or whose level
-// exceeds the threshold of a target on its path. Refusing it here avoids
-// partial work that would be discarded.
+// exceeds the threshold of a target on its path. Refusing it at the entry
+// node, the one that receives it from its caller, avoids partial work that
+// would be discarded.
 func (n *Node) admitNew(rt *directory.Route, level call.Level, remaining time.Duration) *refusal {
 	if since, ok := n.drainingSince(); ok && since > n.cfg.ShutdownGrace*refuseNewNum/refuseNewDen {
 		return &refusal{code: http.StatusServiceUnavailable, cause: causeLeaving, retryAfter: retryAfterUnavailable, reason: "node is leaving"}
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -20,8 +20,9 @@
 	// body is a deltaRequest, the response body a directory.Delta.
 	sinceOperation = "directory.since"
 	// catchUpDelay is how long a node that learns of a newer revision waits
-	// for the change to arrive from its reader, so that nodes do not all
-	// query each other on every change.
+	// for the change to arrive from its reader (the node that it long-polls
+	// for the directory), so that nodes do not all query each other on every
+	// change.
 	catchUpDelay = 300 * time.Millisecond
 	// answerTimeout is the time allowed for a node operation, in addition to
 	// any long-poll wait.
@@ -53,8 +54,8 @@
 
 // onPeerRevision handles the directory revision in a peer's response. If the
 // peer stays ahead of this node, the missing changes are fetched from it.
-// This covers a source that loses a change and a reader that cannot reach the
-// source.
+// This covers a directory source that loses a change and a reader that cannot
+// reach the source.
 func (n *Node) onPeerRevision(p wire.Peer, rev uint64) {
 	if directory.Revision(rev) <= n.dir.Revision() || !n.catchingUp.CompareAndSwap(false, true) {
 		return
--- a/sidecar/catchup_test.go
+++ b/sidecar/catchup_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// A stopping node must not hold long polls, which would delay its shutdown.
+// A draining node must not hold long polls, which would delay its shutdown.
 func TestDrainingNodeReleasesLongPolls(t *testing.T) {
 	m := newMesh(t, "archiv", "archiv")
 	Convey("The long poll ends immediately", t, func() {
@@ -62,7 +62,7 @@
 	n := m.vms[0].node
 	Convey("The operation fails and is counted", t, func() {
 		before := n.dir.Revision()
-		for _, op := range []string{sinceOperation, vouchOperation, endsOperation} {
+		for _, op := range []string{sinceOperation, vouchOperation, exitReportOperation} {
 			a := n.servePeer(context.Background(), call.Request{ID: "q", Operation: op, Body: []byte("junk")})
 			So(a.Status, ShouldEqual, call.Failed)
 		}
--- a/sidecar/cost_test.go
+++ b/sidecar/cost_test.go
@@ -16,9 +16,9 @@
 func TestChildSlotTimeIsReportedToEntryNode(t *testing.T) {
 	m := newMesh(t, "entwurf", "archiv", "versand")
 	Convey("The cost of a read is the slot time of its child requests at the overloaded target", t, func() {
-		full := m.vms[2].node
-		for full.meter.Threshold() == admit.MaxLevel {
-			full.meter.RecordArrival(2*admit.LevelsPerRank, time.Minute, 0)
+		overloaded := m.vms[2].node
+		for overloaded.meter.Threshold() == admit.MaxLevel {
+			overloaded.meter.RecordArrival(2*admit.LevelsPerRank, time.Minute, 0)
 			time.Sleep(10 * time.Millisecond)
 		}
 		m.vms[2].target.handleWith(func(w http.ResponseWriter, r *http.Request) {
--- a/sidecar/drain.go
+++ b/sidecar/drain.go
@@ -5,27 +5,27 @@
 )
 
 const (
-	// minDrainTime is the minimum time that a stopping node stays up, even if
+	// minDrainTime is the minimum time that a draining node stays up, even if
 	// idle. The platform polls readiness every second and removes the node
 	// after two failed checks.
 	minDrainTime = 2300 * time.Millisecond
-	// peerDrainDelay is how long a stopping node continues to serve requests
+	// peerDrainDelay is how long a draining node continues to serve requests
 	// from peers. Refusing them immediately would leave its instance idle
 	// during every restart.
 	peerDrainDelay = 1200 * time.Millisecond
 	// refuseNewNum / refuseNewDen is the fraction of the grace period after
-	// which a stopping node refuses new requests from callers, because they
+	// which a draining node refuses new requests from callers, because they
 	// could still be running when the process is killed. A fraction instead
 	// of a fixed time also works for short grace periods.
 	refuseNewNum = 7
 	refuseNewDen = 15
 	// drainTimeoutNum / drainTimeoutDen is the fraction of the grace period
-	// after which a stopping node closes its remaining connections.
+	// after which a draining node closes its remaining connections.
 	drainTimeoutNum = 9
 	drainTimeoutDen = 10
 	// closeTimeout bounds the closing of connections at shutdown.
 	closeTimeout = 200 * time.Millisecond
-	// drainPollInterval is how often a stopping node checks whether it is
+	// drainPollInterval is how often a draining node checks whether it is
 	// idle.
 	drainPollInterval = 20 * time.Millisecond
 )
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -37,7 +37,7 @@
 	tried       []directory.InstanceID
 	unreachable int  // nodes among tried
 	reached     int  // instances that received the request, or may have
-	mayHaveRun  bool // some attempt was not refused
+	mayHaveRun  bool // some instance may have executed the request
 }
 
 // forward sends a request to instances of its service until one returns a
@@ -83,9 +83,10 @@
 }
 
 // pickCriteria returns the load balancing criteria for a request. While a
-// target on its path is overloaded, latency is ignored for non-idempotent
-// requests. Their child requests are sent from where they run and would
-// otherwise be concentrated near the fastest instance.
+// target on its path is overloaded, a non-idempotent request is balanced like
+// an idempotent one, without regard to its deadline. Child requests are sent
+// from where their parents run and would otherwise be concentrated near the
+// fastest instance.
 func (n *Node) pickCriteria(q *request, tried []directory.InstanceID) balance.PickRequest {
 	v := n.dir.View()
 	pick := balance.PickRequest{Route: q.route.Name, Instances: v.Instances(q.Service), SameDC: v.InstancesInDC(q.Service, n.cfg.DC), Tried: tried}
--- a/sidecar/forward_test.go
+++ b/sidecar/forward_test.go
@@ -67,9 +67,10 @@
 	})
 }
 
-// An action whose connection fails before the response must be reported as
-// unknown and not be retried. A read is retried on another instance.
-func TestConnectionLostBeforeResponse(t *testing.T) {
+// If a target's connection fails before the response, a non-idempotent request
+// must not be retried, because it may have been executed. An idempotent one is
+// retried on another instance.
+func TestLostResponseIsRetriedOnlyIfIdempotent(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	breakConnection := func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
@@ -78,7 +79,7 @@
 			c.Close()
 		}
 	}
-	Convey("An action runs once and gets 502; a read is retried on another instance", t, func() {
+	Convey("A publish request runs once and gets 502; a read is retried on another instance", t, func() {
 		for _, v := range m.vms[1:] {
 			v.target.handleWith(breakConnection)
 		}
@@ -121,7 +122,7 @@
 
 // The address of an instance has been reused by another service, and the
 // sender's directory is outdated. The request must not be executed there.
-func TestReusedAddressRunsNothing(t *testing.T) {
+func TestRequestToReusedAddressIsNotExecuted(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("The other instance and its node refuse the request", t, func() {
 		m.vms[1].target.id = "i-later"
@@ -149,10 +150,11 @@
 	})
 }
 
-// A disconnecting caller cancels a read at the target, but not an action.
+// A disconnecting caller cancels an idempotent request at the target, but not
+// a non-idempotent one, whose outcome would be unknown.
 func TestCallerDisconnectCancelsRead(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("The target of a read sees its connection close, that of an action does not", t, func() {
+	Convey("The target of a read sees its connection close, that of a publish request does not", t, func() {
 		for _, c := range []struct {
 			method, path string
 			stops        bool
@@ -185,7 +187,7 @@
 	m := newMesh(t, "versand", "archiv")
 	Convey("It queries the seeds in order until one answers", t, func() {
 		m.seeds = []string{"127.0.0.9:1", m.vms[1].node.cfg.ControlAddr}
-		v := m.start("127.0.0.4", "rankings")
+		v := m.startVM("127.0.0.4", "rankings")
 		m.vms = append(m.vms, v)
 		for range 50 {
 			if v.dir.HasSnapshot() {
--- a/sidecar/header.go
+++ b/sidecar/header.go
@@ -14,8 +14,8 @@
 // headerSet is a set of header names.
 type headerSet map[string]bool
 
-// responseDropHeaders are not copied from the target's response;
-// Content-Length is set anew.
+// responseDropHeaders are not copied from the target's response; writeAnswer
+// sets Content-Length.
 var responseDropHeaders = headerSet{"Content-Length": true}
 
 // newDropHeaders returns the headers that are not copied from the caller's
--- a/sidecar/lifetime_test.go
+++ b/sidecar/lifetime_test.go
@@ -14,7 +14,7 @@
 // A node without routes must not answer 404 for a path that may have a route.
 func TestNodeWithoutRoutesReturnsRetryAfter(t *testing.T) {
 	m := &mesh{t: t, port: freePort(t)}
-	m.vms = append(m.vms, m.start("127.0.0.2", "archiv"))
+	m.vms = append(m.vms, m.startVM("127.0.0.2", "archiv"))
 	t.Cleanup(m.stop)
 	Convey("503 with Retry-After, and the readiness check fails", t, func() {
 		_, got := m.get(m.vms[0], "/read/x")
@@ -80,7 +80,7 @@
 	})
 }
 
-// A stopping node must keep serving its peers for a while. Otherwise its
+// A draining node must keep serving its peers for a while. Otherwise its
 // instance would idle during every restart while other instances are
 // overloaded.
 func TestDrainingNodeServesPeersAtFirst(t *testing.T) {
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -11,8 +11,8 @@
 func (n *Node) applyView(v *directory.View) {
 	n.balancer.Prune(v)
 	n.queryUnlisted(v)
-	if b := n.accountRegistry(); b != nil {
-		n.limiter.SetRegistry(b)
+	if registry := n.accountRegistry(); registry != nil {
+		n.limiter.SetRegistry(registry)
 	}
 	in, ok := v.InstanceAt(n.cfg.TargetAddr)
 	if !ok {
--- a/sidecar/mesh_test.go
+++ b/sidecar/mesh_test.go
@@ -39,14 +39,15 @@
 		// source is the directory source of nodes started later; nil for
 		// none.
 		source directory.Source
-		// serve replaces fakeTarget if set.
+		// serve runs a target on a listener; fakeTarget is used if it is nil.
 		serve func(l net.Listener, id string)
 		// accounts are included in the routes; nil for none.
 		accounts *account.Registry
 	}
 
-	// emptySource is a directory source without contents.
-	emptySource struct{}
+	// failingSource is a directory source that cannot be read and reports no
+	// changes.
+	failingSource struct{}
 
 	// vm is a node and its fake target.
 	vm struct {
@@ -71,16 +72,16 @@
 	}
 )
 
-func (emptySource) Load(context.Context) (directory.Snapshot, error) {
+func (failingSource) Load(context.Context) (directory.Snapshot, error) {
 	return directory.Snapshot{}, errNoSource
 }
 
-func (emptySource) Watch(ctx context.Context, after directory.Revision, wait time.Duration) ([]directory.Change, directory.Revision, error) {
+func (failingSource) Watch(ctx context.Context, after directory.Revision, wait time.Duration) ([]directory.Change, directory.Revision, error) {
 	directory.Pause(ctx, wait)
 	return nil, after, ctx.Err()
 }
 
-func (emptySource) Listed(context.Context, directory.InstanceID) (bool, error) {
+func (failingSource) Listed(context.Context, directory.InstanceID) (bool, error) {
 	return false, errNoSource
 }
 
@@ -177,14 +178,15 @@
 // populate starts a node and a target for each service.
 func (m *mesh) populate(services []string) *mesh {
 	for i, service := range services {
-		m.vms = append(m.vms, m.start(fmt.Sprintf("127.0.0.%d", i+2), service))
+		m.vms = append(m.vms, m.startVM(fmt.Sprintf("127.0.0.%d", i+2), service))
 	}
 	m.updateAll(1)
 	m.t.Cleanup(m.stop)
 	return m
 }
 
-func (m *mesh) start(ip, service string) *vm {
+// startVM starts a target and its node on an address.
+func (m *mesh) startVM(ip, service string) *vm {
 	v := &vm{ip: ip, target: &fakeTarget{id: "i-" + ip, runsByID: map[string]int{}}, served: make(chan error, 1)}
 	l := listenOn(m.t, ip)
 	v.self = directory.Instance{ID: directory.InstanceID(v.target.id), Service: service, DC: "nord", Addr: l.Addr().String(), Slots: 20, Revision: 1}
@@ -192,24 +194,24 @@
 		go m.serve(l, v.target.id)
 		m.cleanups = append(m.cleanups, func() { l.Close() })
 	} else {
-		v.serve(l)
+		v.startTarget(l)
 		m.cleanups = append(m.cleanups, v.stopTarget)
 	}
-	m.run(v)
+	m.startNode(v)
 	return v
 }
 
-// serve starts v's target on l.
-func (v *vm) serve(l net.Listener) {
+// startTarget starts v's target on l.
+func (v *vm) startTarget(l net.Listener) {
 	v.server = &http.Server{Handler: v.target}
 	go v.server.Serve(l)
 }
 
-// stopTarget stops v's target and breaks its connections.
+// stopTarget stops v's target and closes its connections.
 func (v *vm) stopTarget() { v.server.Close() }
 
-// run starts the node of v.
-func (m *mesh) run(v *vm) {
+// startNode starts the node of v.
+func (m *mesh) startNode(v *vm) {
 	lg := &log.Logger{Handler: discard.New()}
 	v.dir = directory.New(directory.DefaultConfig(lg))
 	n, err := New(Config{Seeds: m.seeds, ControlAddr: freeAddr(m.t, v.ip), Name: "node-" + v.ip, DC: "nord", Service: v.self.Service, TargetAddr: v.self.Addr, CallerAddr: freeAddr(m.t, v.ip),
@@ -254,6 +256,7 @@
 	}
 }
 
+// stop stops all nodes, without draining, and all targets.
 func (m *mesh) stop() {
 	for _, v := range m.vms {
 		if _, draining := v.node.drainingSince(); !draining {
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -43,7 +43,7 @@
 type (
 	// Config is the configuration of a Node.
 	Config struct {
-		Name        string // name of this node in logs, metrics and towards peers
+		Name        string // name of this node in metrics
 		DC          callgraph.DC
 		Service     string // service of the local target
 		TargetAddr  string // host:port of the local target
@@ -51,7 +51,7 @@
 		PeerAddr    string // host:port that accepts requests from other nodes; the port is the same on all VMs
 		ControlAddr string // host:port that accepts requests from nodes without a directory; empty for none
 		// Seeds are control addresses of other nodes, queried for the
-		// directory at startup while the source does not answer.
+		// directory at startup while the directory source does not answer.
 		Seeds       []string
 		ReadyAddr   string // host:port of the readiness endpoint
 		MetricsAddr string // host:port of the metrics endpoint
@@ -80,15 +80,15 @@
 	Node struct {
 		cfg          Config
 		log          log.Interface
-		decisions    *timeline.LimitedLogger
+		decisions    *timeline.LimitedLogger // rate-limited log of decisions on single requests
 		dir          *directory.Directory
 		balancer     *balance.Balancer
 		gate         *slots.Gate
 		targetTimes  *slots.ServiceTimes      // execution times at the local target, by route
 		slowdown     *slots.SlowdownEstimator // of the local target
 		totalTimes   *slots.ServiceTimes      // end-to-end times of requests that enter here, by route
-		meter        *admit.DemandMeter
-		health       balance.Health // of the local target
+		meter        *admit.DemandMeter       // computes the admission threshold of the local target
+		health       balance.Health           // of the local target
 		thresholds   *admit.ThresholdTable
 		costs        *admit.RouteCosts // of requests that enter here
 		successRates *admit.SuccessRateLimiter
@@ -97,8 +97,8 @@
 		queueWait    admit.WaitFunc // limits the queueing of new requests
 		retryAfter   admit.WaitFunc // Retry-After of refused requests
 		running      *runningRequests
-		vouchChecker *vouch.Checker // vouches for the local instance
-		vouchQueries pendingQueries // for unlisted instances
+		vouchChecker *vouch.Checker // decides whether to vouch for the local instance
+		vouchQueries pendingQueries // to the nodes of unlisted instances
 		exits        exitDetector   // of the local target
 		quarantine   *quarantine.Tracker
 		isolation    *quarantine.IsolationLock // restricts concurrency at the local target
@@ -234,8 +234,8 @@
 
 // dirSyncConfig returns the configuration of the node's Syncer. self is the
 // address at which other nodes reach this one, derived from its instance. The
-// listen address may differ (such as 0.0.0.0), and the node would then not
-// recognize itself as a reader.
+// listen address may differ from it (such as 0.0.0.0); a node that used it as
+// its own would not recognize itself as a reader of the directory source.
 func (n *Node) dirSyncConfig(self wire.Peer) dirsync.Config {
 	cfg := dirsync.Config{Directory: n.dir, Source: n.cfg.Source, Self: dirsync.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
 	cfg.NodeAddr = func(in directory.Instance) (dirsync.Addr, error) {
@@ -273,8 +273,8 @@
 }
 
 // Shutdown stops the node gracefully within its grace period. It fails the
-// readiness check, keeps serving incoming requests, and returns when none are
-// left.
+// readiness check, continues to serve requests, and returns when none are left
+// or most of the grace period has passed. The context is ignored.
 func (n *Node) Shutdown(context.Context) {
 	began := time.Now()
 	n.drainStart.Store(began.UnixNano())
--- a/sidecar/overload_test.go
+++ b/sidecar/overload_test.go
@@ -39,7 +39,7 @@
 
 // A node must report the failures of its own target, but not those caused by
 // failed child requests.
-func TestNodeReportsTargetFailureRatio(t *testing.T) {
+func TestNodeReportsTargetFailureRate(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("The target's own failures are reported, those of child requests are not", t, func() {
 		for range 10 {
@@ -72,7 +72,7 @@
 // entry node with a Retry-After within its deadline.
 func TestOverloadRefusesAtEntryNode(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
-	Convey("A read gets 503 and does not reach the target; a publication passes", t, func() {
+	Convey("A read gets 503 and does not reach the target; a publish request passes", t, func() {
 		m.vms[0].node.thresholds.RecordThreshold("read", 10, "archiv")
 		id, got := m.get(m.vms[0], "/read/x")
 		So(got.code, ShouldEqual, http.StatusServiceUnavailable)
@@ -85,8 +85,8 @@
 	})
 }
 
-// The queue wait is bounded over all attempts. A request must not wait in
-// full at one instance after another.
+// The queue wait is bounded over all attempts. A request must not wait for the
+// whole bound at one instance after another.
 func TestQueueWaitIsSharedByAttempts(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
 	Convey("The request is refused when its queue wait is over", t, func() {
@@ -103,8 +103,9 @@
 	})
 }
 
-// A queued action must not be executed after its caller has disconnected.
-func TestCanceledQueuedActionNeverRuns(t *testing.T) {
+// A queued non-idempotent request must not be executed after its caller has
+// disconnected.
+func TestCanceledQueuedRequestIsNotExecuted(t *testing.T) {
 	m := newMesh(t, "versand", "archiv")
 	Convey("The request leaves the queue when its caller disconnects", t, func() {
 		v := m.vms[1]
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -16,16 +16,16 @@
 type Policies struct {
 	Thresholds     bool `ini:"thresholds"`   // refuse new requests at the entry node by the thresholds that targets report
 	SuccessRates   bool `ini:"prospects"`    // also refuse routes whose requests nearly all fail
-	Costs          bool `ini:"costs"`        // admit kinds of requests by their cost
+	Costs          bool `ini:"costs"`        // prefer routes of low cost when assigning admission levels
 	QueueByLevel   bool `ini:"parts"`        // queue requests of equal rank by level instead of by arrival
 	SlowdownCheck  bool `ini:"pace"`         // refuse requests that a slow target cannot finish before their deadline
 	QueueWaitLimit bool `ini:"patience"`     // limit queueing of new requests to what their deadline allows
 	RetryAfter     bool `ini:"come_back"`    // derive Retry-After from the caller's deadline
-	Retries        bool `ini:"repeats"`      // retry on a second instance
+	Retries        bool `ini:"repeats"`      // retry on another instance
 	ReportedHealth bool `ini:"told"`         // weigh the failure rates that nodes report for their instances
 	Latency        bool `ini:"speed"`        // send less to slow instances
-	ShortDeadline  bool `ini:"tight"`        // send non-idempotent requests with short deadlines to fast instances
-	Explore        bool `ini:"explore"`      // and occasionally to any instance
+	ShortDeadline  bool `ini:"tight"`        // prefer fast instances for non-idempotent requests with short deadlines
+	Explore        bool `ini:"explore"`      // but send one of them to any healthy instance occasionally
 	Sample         bool `ini:"sample"`       // balance over a sample of instances instead of all
 	Vouch          bool `ini:"vouch"`        // nodes vouch for instances whose directory entries have gone
 	Quarantine     bool `ini:"quarantine"`   // isolate requests that crash instances
@@ -33,9 +33,9 @@
 	Suspicion      bool `ini:"suspicion"`    // skip peers that do not answer pings
 	SpreadWatches  bool `ini:"spread"`       // spread directory watches after a change
 	RateLimits     bool `ini:"limits"`       // enforce the rate limits of accounts
-	Readers        bool `ini:"readers"`      // few nodes read the source, and the others read from them
-	ServePeers     bool `ini:"serve_peers"`  // a stopping node serves peers for a while
-	DecisionLog    bool `ini:"decision_log"` // log decisions
+	Readers        bool `ini:"readers"`      // only a few nodes read the directory source, the others poll them
+	ServePeers     bool `ini:"serve_peers"`  // a draining node serves peers for a while
+	DecisionLog    bool `ini:"decision_log"` // log decisions on single requests
 }
 
 // DefaultPolicies returns the default policies, with all enabled.
@@ -77,12 +77,12 @@
 	return slots.QueueOrder{ByLevel: p.QueueByLevel}
 }
 
-func (p Policies) admission(b *admit.ThresholdTable) admit.Admission {
-	return choose[admit.Admission](p.Thresholds, b, admit.Unlimited{})
+func (p Policies) admission(table *admit.ThresholdTable) admit.Admission {
+	return choose[admit.Admission](p.Thresholds, table, admit.Unlimited{})
 }
 
-func (p Policies) levels(c *admit.RouteCosts) admit.LevelAssigner {
-	return choose[admit.LevelAssigner](p.Costs, c, admit.UniformLevels{})
+func (p Policies) levels(costs *admit.RouteCosts) admit.LevelAssigner {
+	return choose[admit.LevelAssigner](p.Costs, costs, admit.UniformLevels{})
 }
 
 func (p Policies) queueWait() admit.WaitFunc {
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a new policy that is missing from the defaults.
-func TestUsualEnablesEveryPolicy(t *testing.T) {
+func TestDefaultPoliciesEnableAll(t *testing.T) {
 	Convey("Each field is set", t, func() {
 		v := reflect.ValueOf(DefaultPolicies())
 		for i := range v.NumField() {
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -77,17 +77,17 @@
 // stillAllowed reports whether a request may run after queueing. Its stage
 // may have been raised by a crash in the meantime.
 func (n *Node) stillAllowed(qs quarantineState) bool {
-	now := n.stage(qs)
-	return now <= qs.stage || now <= quarantine.Suspect
+	current := n.stage(qs)
+	return current <= qs.stage || current <= quarantine.Suspect
 }
 
 // refuseSuspect refuses a suspect request without executing it. NoRetry is set
 // if the request must not be sent to another instance.
 func (n *Node) refuseSuspect(r call.Request, qs quarantineState) call.Answer {
 	a := call.Refuse(r, "instances ended under this request, and another such is running", suspectRetryAfter)
-	now := n.stage(qs)
-	a.NoRetry = now >= quarantine.Isolated
-	if now == quarantine.Quarantined {
+	current := n.stage(qs)
+	a.NoRetry = current >= quarantine.Isolated
+	if current == quarantine.Quarantined {
 		a.Reason = "quarantined: instances ended under this request"
 		a.RetryAfter = max(a.RetryAfter, n.quarantine.Remaining(qs.fingerprint, qs.caller))
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -50,7 +50,7 @@
 	for range n {
 		services = append(services, "archiv")
 	}
-	m := &mesh{t: t, port: freePort(t), source: emptySource{}}
+	m := &mesh{t: t, port: freePort(t), source: failingSource{}}
 	f := &crashMesh{mesh: m.populate(services), revision: 100}
 	f.crashing = f.vms[1:]
 	for _, v := range f.crashing {
@@ -61,7 +61,7 @@
 }
 
 // crashOnPoison makes v's target crash on poison requests. Other requests take
-// some time and are cut by a crash.
+// some time and fail if the target crashes.
 func (f *crashMesh) crashOnPoison(v *vm) {
 	target := v.target
 	target.handleWith(func(w http.ResponseWriter, r *http.Request) {
@@ -102,7 +102,7 @@
 		return
 	}
 	f.crashOnPoison(v)
-	v.serve(l)
+	v.startTarget(l)
 	old := v.self.ID
 	f.revision++
 	v.self.ID, v.self.Revision, v.self.FirstRevision = directory.InstanceID(v.target.id), f.revision, f.revision
@@ -131,7 +131,7 @@
 // node with a new id each time, must be stopped after a few crashes.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := newCrashMesh(t, 5)
-	Convey("After the third crash few instances execute it, for reads and actions", t, func() {
+	Convey("After the third crash few instances execute it, for read and publish requests", t, func() {
 		for _, path := range []string{poisonPath, "/publish/fatal"} {
 			before := f.crashCount()
 			for i := 0; f.crashCount() < before+3 && i < 20; i++ {
@@ -151,9 +151,9 @@
 	})
 }
 
-// Requests that were in progress at crashing instances must be served when
-// they are sent again, even if they were there at every crash.
-func TestConcurrentRequestsAreServed(t *testing.T) {
+// Requests that were in progress when an instance crashed must be served when
+// they are sent again, even if they were running during every crash.
+func TestRequestsRunningDuringCrashAreServed(t *testing.T) {
 	f := newCrashMesh(t, 5)
 	Convey("Concurrent requests are served when they are sent again", t, func() {
 		var concurrent []string
@@ -197,7 +197,7 @@
 			So(v.ip+" "+strconv.FormatBool(knows(v)), ShouldEqual, v.ip+" true")
 		}
 		f.seeds = []string{f.vms[1].node.cfg.ControlAddr}
-		v := f.mesh.start("127.0.0.40", "archiv")
+		v := f.mesh.startVM("127.0.0.40", "archiv")
 		f.vms = append(f.vms, v)
 		deadline = time.Now().Add(2 * time.Second)
 		for !knows(v) && time.Now().Before(deadline) {
@@ -217,7 +217,7 @@
 // part must be served.
 func TestQuarantinedRequestIsRefusedImmediately(t *testing.T) {
 	m := newMesh(t, "versand", "archiv", "archiv")
-	Convey("503 with the remaining term at every node; other requests are served", t, func() {
+	Convey("503 with the remaining quarantine as Retry-After at every node; other requests are served", t, func() {
 		qs := quarantineStateAt(m.vms[0].node, "/read/fatal")
 		for i, c := range []quarantine.Caller{"versand", "versand", "archiv"} {
 			m.vms[1].node.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Isolated: i == 2})
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	// endsOperation reports target exits and the requests that were running.
+	// exitReportOperation reports target exits and the requests that were
+	// running.
 	// The request body is a quarantine.Report.
-	endsOperation = "quarantine.ends"
+	exitReportOperation = "quarantine.ends"
 	// reportBatchDelay is how long reports are collected before they are
 	// sent, because an exit affects all requests in progress. It is shorter
 	// than the time in which a caller retries.
 	reportBatchDelay = time.Millisecond
-	// updateBatchDelay is the same for long polls without urgent updates.
+	// updateBatchDelay is how long the response to a long poll is delayed to
+	// collect further updates, unless one is urgent.
 	updateBatchDelay = 20 * time.Millisecond
 	// reportAttempts and reportRetryDelay bound the delivery of a report to
 	// one node. A node that misses it receives it by its long poll to
@@ -49,8 +51,9 @@
 	}
 )
 
-// queueReport schedules a report on requests to the nodes that read the
-// source for their data centres. All other nodes long-poll those.
+// queueReport schedules a report on the given requests. It is sent to the
+// nodes that read the directory source for their data centres; all other nodes
+// long-poll those.
 func (n *Node) queueReport(fingerprints ...quarantine.Fingerprint) {
 	queue := &n.reports
 	queue.mu.Lock()
@@ -91,7 +94,7 @@
 func (n *Node) sendReport(addr dirsync.Addr, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
-	a, err := n.callNode(ctx, addr, endsOperation, body)
+	a, err := n.callNode(ctx, addr, exitReportOperation, body)
 	if err != nil {
 		return err
 	}
@@ -116,9 +119,10 @@
 	return a, err
 }
 
-// serveEnds handles endsOperation. The response contains this node's records
-// of the same requests, so that data centres synchronize after a partition.
-func (n *Node) serveEnds(r call.Request) call.Answer {
+// serveExitReport handles exitReportOperation. The response contains this
+// node's records of the same requests, so that data centres synchronize after
+// a partition.
+func (n *Node) serveExitReport(r call.Request) call.Answer {
 	received, err := decodeReport(r.Body)
 	if err != nil {
 		return n.malformedAnswer(r, err)
@@ -142,7 +146,7 @@
 }
 
 // encodeUpdate returns the quarantine records after cursor, to be sent in the
-// response to a long poll; nil if the sender keeps no records.
+// response to a long poll; nil if the polling node keeps no records.
 func (n *Node) encodeUpdate(cursor *quarantine.Cursor) []byte {
 	if cursor == nil {
 		return nil
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -17,8 +17,8 @@
 	// initialTargetTime is the assumed execution time of a route without
 	// measurements.
 	initialTargetTime = 50 * time.Millisecond
-	// slowFactor is the multiple of the mean execution time that a timed-out
-	// request must have had before the timeout counts as a failure of the
+	// slowFactor is the multiple of the route's mean execution time that a
+	// request must have run before its timeout counts as a failure of the
 	// instance.
 	slowFactor = 2
 	// probeSlotDivisor limits requests to a slow target: it receives them
@@ -48,8 +48,8 @@
 		return n.serveSince(ctx, r)
 	case vouchOperation:
 		return n.serveVouch(ctx, r)
-	case endsOperation:
-		return n.serveEnds(r)
+	case exitReportOperation:
+		return n.serveExitReport(r)
 	case usageOperation:
 		return n.serveUsage(r)
 	}
@@ -136,8 +136,8 @@
 
 // canMeetDeadline reports whether the local target can finish a request
 // before its deadline at its current slowdown. If it cannot, another instance
-// can still execute the request. A few requests are let through anyway, to
-// measure the slowdown.
+// can still execute the request. While few slots are busy it always returns
+// true, so that the slowdown continues to be measured.
 func (n *Node) canMeetDeadline(r call.Request, deadline time.Time) bool {
 	if !n.cfg.Policies.SlowdownCheck || n.slowdown.ExpectedTime(r.Operation) <= time.Until(deadline) {
 		return true
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -16,14 +16,14 @@
 
 // Causes of refusals, as counted in oatpin_refused_total.
 const (
-	causeOverload cause = "overload"   // some target on the path is overloaded
-	causeNoRoutes cause = "no_routes"  // no routes loaded, or they may be outdated
-	causeNoRoute  cause = "no_route"   // no route matches
-	causeLeaving  cause = "leaving"    // the node is shutting down
-	causeRequest  cause = "bad_header" // a header is missing or malformed
-	causeKey      cause = "key"        // no account holds the key
-	causeLimit    cause = "limit"      // the account is over its rate limit
-	causeBody     cause = "body"       // too large, too slow, incomplete, or out of memory for bodies
+	causeOverload  cause = "overload"   // some target on the path is overloaded
+	causeNoRoutes  cause = "no_routes"  // no routes loaded, or they may be outdated
+	causeNoRoute   cause = "no_route"   // no route matches
+	causeLeaving   cause = "leaving"    // the node is shutting down
+	causeBadHeader cause = "bad_header" // a header is missing or malformed
+	causeKey       cause = "key"        // no account holds the key
+	causeLimit     cause = "limit"      // the account is over its rate limit
+	causeBody      cause = "body"       // too large, too slow, incomplete, or out of memory for bodies
 	// causeQuarantine marks requests that have crashed instances.
 	causeQuarantine cause = "quarantine"
 )
@@ -94,6 +94,8 @@
 	return v
 }
 
+// className returns the value of the class label; "action" means not
+// idempotent.
 func className(idempotent bool) string {
 	if idempotent {
 		return "idempotent"
@@ -127,7 +129,7 @@
 	}).Update(d.Seconds())
 }
 
-// countRetry counts a request sent to a second instance.
+// countRetry counts a request sent to another instance after it reached one.
 func (s *stats) countRetry(service string) {
 	s.retries.get(service, func() *metrics.Counter {
 		return s.set.GetOrCreateCounter(fmt.Sprintf(`oatpin_repeats_total{node=%q,service=%q}`, s.node, service))
--- a/sidecar/stats_test.go
+++ b/sidecar/stats_test.go
@@ -47,7 +47,7 @@
 		m.send(context.Background(), m.vms[0], http.MethodPost, "/publish/x", "n", nil)
 		m.get(m.vms[0], "/none/")
 		m.vms[0].node.thresholds.RecordThreshold("read", 0, "archiv")
-		for range 40 { // one part in sixteen is still admitted
+		for range 40 { // enough that some are above the admitted level
 			m.get(m.vms[0], "/read/x")
 		}
 		text := readMetrics(m.vms[0])
@@ -64,8 +64,8 @@
 	})
 }
 
-// BenchmarkAnswered measures the recording of one response.
-func BenchmarkAnswered(b *testing.B) {
+// BenchmarkObserveRequest measures the recording of one response.
+func BenchmarkObserveRequest(b *testing.B) {
 	s := newStats("n")
 	rt := &testRoutes[0]
 	b.ReportAllocs()
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -17,8 +17,8 @@
 const usageOperation = "account.usage"
 
 // newExchange returns the exchange that shares account usage between nodes.
-// The nodes that read the source for their data centres collect the reports;
-// every node knows which they are.
+// The nodes that rank highest in their data centres collect the reports; every
+// node knows which they are.
 func (n *Node) newExchange() *account.Exchange {
 	return account.NewExchange(account.ExchangeConfig{
 		Self: account.Source(n.dirSync.Self()), DC: account.Source(n.cfg.DC),
@@ -37,15 +37,18 @@
 	return nil
 }
 
+// collectors returns the addresses of the nodes that collect usage reports, in
+// this data centre and in each other one, and the number of all nodes.
 func (n *Node) collectors() (own []account.Source, others [][]account.Source, total int) {
 	localAddrs, remoteAddrs, total := n.dirSync.Collectors()
 	for _, dc := range remoteAddrs {
-		others = append(others, sources(dc))
+		others = append(others, accountSources(dc))
 	}
-	return sources(localAddrs), others, total
+	return accountSources(localAddrs), others, total
 }
 
-func sources(addrs []dirsync.Addr) []account.Source {
+// accountSources converts node addresses to sources of usage reports.
+func accountSources(addrs []dirsync.Addr) []account.Source {
 	out := make([]account.Source, 0, len(addrs))
 	for _, a := range addrs {
 		out = append(out, account.Source(a))
@@ -53,6 +56,7 @@
 	return out
 }
 
+// reportUsage sends a usage report to a collector and returns its reply.
 func (n *Node) reportUsage(ctx context.Context, addr account.Source, r account.Report) ([]account.Standing, error) {
 	body, err := msgpack.Marshal(r)
 	if err != nil {
@@ -67,7 +71,7 @@
 	return reply.Entries, eris.Wrap(err, "decode standings")
 }
 
-// serveUsage handles usageOperation. A stopping node refuses reports, because
+// serveUsage handles usageOperation. A draining node refuses reports, because
 // the counts would be lost with it.
 func (n *Node) serveUsage(r call.Request) call.Answer {
 	if _, draining := n.drainingSince(); draining {
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -19,8 +19,9 @@
 )
 
 const (
-	// vouchOperation asks the node of an instance whether it vouches for it.
-	// The request body is the directory.Start.
+	// vouchOperation asks the node of an instance whether it vouches for the
+	// instance, that is, confirms that it is still in service although its
+	// directory entry was removed. The request body is the directory.Start.
 	vouchOperation = "instance.vouch"
 	// vouchTimeout bounds one request, including the check at the other node.
 	vouchTimeout = vouch.CheckTimeout + 150*time.Millisecond
@@ -53,9 +54,9 @@
 	delete(p.pending, start)
 }
 
-// queryUnlisted queries the nodes of unlisted instances in a view. Only
-// instances that the balancer has considered are queried, which limits the
-// queries in large deployments.
+// queryUnlisted queries the nodes of unlisted instances, whose directory
+// entries were removed. It skips instances that the balancer has not
+// considered, which limits the queries in large deployments.
 func (n *Node) queryUnlisted(v *directory.View) {
 	if !n.cfg.Policies.Vouch {
 		return
@@ -87,14 +88,14 @@
 			return
 		case <-t.C:
 		}
-		if now, ok := n.dir.View().Find(in.ID); !ok || !now.Unlisted || now.Started != in.Started {
+		if current, ok := n.dir.View().Find(in.ID); !ok || !current.Unlisted || current.Started != in.Started {
 			return
 		}
 	}
 }
 
-// requestVouch asks the node of an instance whether it vouches for it. An
-// error means that the node could not be reached or gave no answer.
+// requestVouch reports whether the node of an instance vouches for it. An
+// error means that the node could not be reached or could not answer.
 func (n *Node) requestVouch(in directory.Instance) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), vouchTimeout)
 	defer cancel()
@@ -139,8 +140,8 @@
 	return call.Answer{ID: r.ID, Status: call.OK}
 }
 
-// vouch reports whether this node vouches for the local instance. A stopping
-// node does not, because it could not revoke it.
+// vouch reports whether this node vouches for the local instance. A draining
+// node does not, because it will not be there to revoke it.
 func (n *Node) vouch(ctx context.Context, start directory.Start) bool {
 	if _, draining := n.drainingSince(); draining {
 		return false
@@ -161,7 +162,7 @@
 }
 
 // probe sends a health check to the local target over the pool used for
-// requests. A target that refuses it for overload yields vouch.Unknown.
+// requests. A target that refuses it for overload yields vouch.StatusUnknown.
 func (n *Node) probe(ctx context.Context, in directory.Instance) vouch.ServingStatus {
 	path := n.dir.View().HealthPath(in.Service)
 	if path == "" {
--- a/sidecar/wire_test.go
+++ b/sidecar/wire_test.go
@@ -10,23 +10,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-var testRequest = deltaRequest{After: 300, Wait: time.Second, Cursor: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
+var testDeltaRequest = deltaRequest{After: 300, Wait: time.Second, Cursor: &quarantine.Cursor{Epoch: 1 << 60, Seq: 2}}
 
 // The encoding of a deltaRequest must match that of the previous version.
 func TestDeltaRequestWireCompatibility(t *testing.T) {
 	Convey("Decoding and encoding match the recorded bytes", t, func() {
 		var got deltaRequest
 		So(msgpack.Unmarshal(messagetest.Golden(t, "question"), &got), ShouldBeNil)
-		So(got, ShouldResemble, testRequest)
-		ours, err := msgpack.Marshal(testRequest)
+		So(got, ShouldResemble, testDeltaRequest)
+		ours, err := msgpack.Marshal(testDeltaRequest)
 		So(err, ShouldBeNil)
 		So(ours, ShouldResemble, messagetest.Golden(t, "question"))
 	})
 }
 
-// FuzzQuestion checks that a deltaRequest decoded from any input can be
+// FuzzDeltaRequest checks that a deltaRequest decoded from any input can be
 // encoded.
-func FuzzQuestion(f *testing.F) {
+func FuzzDeltaRequest(f *testing.F) {
 	f.Add(messagetest.Golden(f, "question"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var got deltaRequest
