--- a/account/aggregator.go
+++ b/account/aggregator.go
@@ -14,9 +14,10 @@
 	nodeSilenceTimeout      = 2 * time.Second
 	nearLimitSilenceTimeout = 1200 * time.Millisecond
 	dcSilenceTimeout        = 700 * time.Millisecond
-	// maxBacklog bounds the usage counted when a disconnected source reports
-	// again, as a time before the report. Its share was reserved meanwhile, or
-	// tokens were plentiful, so that counting all of it would deduct too much.
+	// maxBacklog is the longest reporting interval whose usage is counted in
+	// full; the usage of a longer one is scaled down to it. While the source was
+	// disconnected its share was reserved, or tokens were plentiful, so counting
+	// all of its usage would deduct too much.
 	maxBacklog = 2 * time.Second
 	// reservationTTL is how long the share of a disconnected source is
 	// reserved.
@@ -40,7 +41,7 @@
 	Aggregator struct {
 		mu         sync.Mutex
 		buckets    map[Name]*clusterBucket
-		lastReport map[Source]time.Time // by source
+		lastReport map[Source]time.Time // time of each source's last report
 	}
 
 	// clusterBucket is the deployment-wide token bucket of one account.
@@ -61,27 +62,27 @@
 }
 
 // Add processes a report and returns the standings of the accounts in it.
-func (g *Aggregator) Add(b *Registry, r Report) []Standing {
+func (g *Aggregator) Add(registry *Registry, r Report) []Standing {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	switch {
 	case r.Standby:
-		g.deduct(b, r.Usage, now)
+		g.deduct(registry, r.Usage, now)
 		return nil
 	case r.Moved:
 		g.removeSource(r.From)
 		return nil
 	}
-	interval, named := now.Sub(g.lastReport[r.From]), map[Name]bool{}
+	interval, reported := now.Sub(g.lastReport[r.From]), map[Name]bool{}
 	g.lastReport[r.From] = now
 	out := make([]Standing, 0, len(r.Usage))
 	for _, u := range r.Usage {
-		a := b.ByName(u.Account)
+		a := registry.ByName(u.Account)
 		if a == nil || a.Rate <= 0 {
 			continue
 		}
-		named[u.Account] = true
+		reported[u.Account] = true
 		c := g.bucket(a, now)
 		c.tokens -= u.tokens(interval)
 		d := c.demandOf(r.From)
@@ -89,7 +90,7 @@
 		d.observe(float64(u.Requested), interval, now, c.nearLimit(a))
 		out = append(out, c.standing(a, r.From))
 	}
-	g.recordIdle(r.From, named, interval, now)
+	g.recordIdle(r.From, reported, interval, now)
 	return out
 }
 
@@ -102,9 +103,9 @@
 }
 
 // deduct deducts admitted requests without recording demand.
-func (g *Aggregator) deduct(b *Registry, us []Usage, now time.Time) {
+func (g *Aggregator) deduct(registry *Registry, us []Usage, now time.Time) {
 	for _, u := range us {
-		if a := b.ByName(u.Account); a != nil && a.Rate > 0 {
+		if a := registry.ByName(u.Account); a != nil && a.Rate > 0 {
 			g.bucket(a, now).tokens -= float64(u.Admitted)
 		}
 	}
@@ -122,14 +123,14 @@
 
 // TakeUnforwarded returns and clears the usage assumed for disconnected nodes
 // of this data centre, for forwarding to the others.
-func (g *Aggregator) TakeUnforwarded(b *Registry) []Usage {
+func (g *Aggregator) TakeUnforwarded(registry *Registry) []Usage {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var us []Usage
 	now := time.Now()
 	maps.DeleteFunc(g.lastReport, func(_ Source, at time.Time) bool { return now.Sub(at) > reservationTTL })
 	for name, c := range g.buckets {
-		a := b.ByName(name)
+		a := registry.ByName(name)
 		if a == nil {
 			delete(g.buckets, name)
 			continue
@@ -143,10 +144,10 @@
 	return us
 }
 
-// recordIdle records zero demand for the accounts that a report does not name.
-func (g *Aggregator) recordIdle(from Source, named map[Name]bool, interval time.Duration, now time.Time) {
+// recordIdle records zero demand for the accounts that a report does not contain.
+func (g *Aggregator) recordIdle(from Source, reported map[Name]bool, interval time.Duration, now time.Time) {
 	for name, c := range g.buckets {
-		if d := c.sources[from]; d != nil && !named[name] {
+		if d := c.sources[from]; d != nil && !reported[name] {
 			d.observe(0, interval, now, false)
 			if d.rate < 1/reservationTTL.Seconds() {
 				delete(c.sources, from)
--- a/account/exchange.go
+++ b/account/exchange.go
@@ -9,8 +9,8 @@
 
 const (
 	// reportInterval is how often a node reports accounts that are near their
-	// limits, and how often a collector forwards usage. All nodes must learn of
-	// an account at five times its rate within a second.
+	// limits, and how often a collector forwards usage. All nodes must learn
+	// within a second of an account that sends at five times its rate.
 	reportInterval = 150 * time.Millisecond
 	// idleInterval is the report interval when no account is near its limit.
 	idleInterval = time.Second
@@ -43,10 +43,10 @@
 		// total is the number of nodes.
 		Collectors func() (own []Source, others [][]Source, total int)
 		// Send sends a report to a node and returns its answer.
-		Send func(ctx context.Context, at Source, r Report) ([]Standing, error)
+		Send func(ctx context.Context, to Source, r Report) ([]Standing, error)
 		// OnError is called for each report that could not be
 		// delivered.
-		OnError func(at Source, err error)
+		OnError func(to Source, err error)
 	}
 
 	// Exchange keeps a node's Limiter up to date. It reports local usage to one
@@ -81,17 +81,17 @@
 
 // Run reports and forwards usage until ctx is done.
 func (x *Exchange) Run(ctx context.Context) {
-	go x.loop(ctx, func(b *Registry) {
+	go x.loop(ctx, func(registry *Registry) {
 		own, others, _ := x.cfg.Collectors()
-		x.enqueue(x.aggregator.TakeUnforwarded(b))
+		x.enqueue(x.aggregator.TakeUnforwarded(registry))
 		x.forward(ctx, own, others)
 	})
-	x.loop(ctx, func(b *Registry) {
+	x.loop(ctx, func(registry *Registry) {
 		own, others, total := x.cfg.Collectors()
 		if total > 0 {
 			x.limiter.SetNodeCount(total)
 		}
-		x.report(ctx, b, own, others)
+		x.report(ctx, registry, own, others)
 	})
 }
 
@@ -104,13 +104,13 @@
 			return
 		case <-time.After(wait):
 		}
-		b := x.cfg.Registry()
-		if b == nil {
+		registry := x.cfg.Registry()
+		if registry == nil {
 			wait = idleInterval // nothing to report
 			continue
 		}
 		wait = reportInterval
-		f(b)
+		f(registry)
 	}
 }
 
@@ -193,8 +193,8 @@
 	x.limiter.ApplyStandings(registry, standings)
 }
 
-// reportFailed records a failed report and isolates the limiter once reports
-// have failed for fallbackDelay.
+// reportFailed records a failed report and switches the limiter to fallback
+// mode once reports have failed for fallbackDelay.
 func (x *Exchange) reportFailed(registry *Registry) {
 	if x.failingSince.IsZero() {
 		x.failingSince = time.Now()
@@ -217,9 +217,9 @@
 }
 
 // forward sends pending usage to the collectors of the other data centres and,
-// half as often, to the standbys here and there, which must know the usage when
-// they take over. A standby that received reports itself forwards them to the
-// active collector.
+// half as often, to the standbys in all data centres, which must know the usage
+// when they take over. A standby that received reports itself forwards them to
+// the active collector.
 func (x *Exchange) forward(ctx context.Context, own []Source, others [][]Source) {
 	localCollectors := x.available(own)
 	isCollector := len(localCollectors) > 0 && localCollectors[0] == x.cfg.Self
@@ -247,8 +247,8 @@
 }
 
 // forwardTo sends one forward. Usage that an unreachable collector missed is
-// dropped: it already reserves this data centre's share, and counting old usage
-// later would deduct it twice.
+// dropped: that collector already reserves this data centre's share, and counting
+// old usage later would deduct it twice.
 func (x *Exchange) forwardTo(ctx context.Context, to Source, r Report) {
 	defer x.clearInFlight(to)
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
--- a/account/fleet_test.go
+++ b/account/fleet_test.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// Operators measure an account's requests over every window of limitWindow,
-	// and accept its limit times limitTolerance plus limitSlack.
+	// An account exceeds its limit if more than
+	// (Rate*limitWindow+Burst)*limitTolerance+limitSlack of its requests are
+	// admitted in any window of limitWindow.
 	limitWindow    = 5 * time.Second
 	limitTolerance = 1.25
 	limitSlack     = 20
@@ -61,9 +62,9 @@
 	}
 )
 
-// newFleet creates accounts of which few are large. Each limit is 1.6 times the
-// account's base rate.
-func newFleet(t testing.TB, seed uint64, nodes, dcs, accounts int, total float64) *fleet {
+// newFleet creates accounts whose base rates follow a Zipf distribution. Each
+// limit is 1.6 times the account's base rate.
+func newFleet(t testing.TB, seed uint64, nodes, dcs, accounts int, totalRate float64) *fleet {
 	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), dcs: dcs, partitionedDC: -1, baseRate: map[Name]float64{}, load: map[Name]float64{},
 		entryNodes: map[Name][]int{}, admitted: map[Name][]time.Time{}, requested: map[Name]int{}, refused: map[Name]int{}}
 	var sum float64
@@ -73,7 +74,7 @@
 	var all []Account
 	for i := range accounts {
 		a := Account{Name: Name("a" + strconv.Itoa(i))}
-		f.baseRate[a.Name] = total / sum / float64(i+1)
+		f.baseRate[a.Name] = totalRate / sum / float64(i+1)
 		a.Rate = max(1, math.Round(1.6*f.baseRate[a.Name]))
 		a.Burst = a.Rate
 		all = append(all, a)
@@ -191,7 +192,7 @@
 	return n
 }
 
-// worstWindow returns the largest ratio of admitted to accepted requests in any
+// worstWindow returns the largest ratio of admitted to allowed requests in any
 // window, and the account it belongs to.
 func (f *fleet) worstWindow() (Name, float64) {
 	var worst Name
@@ -234,7 +235,7 @@
 
 type fleetSize struct {
 	nodes, dcs, accounts int
-	total                float64 // requests per second
+	totalRate            float64 // requests per second
 	seeds                uint64
 }
 
@@ -247,11 +248,11 @@
 		for seed := range s.seeds {
 			t.Run(fmt.Sprint(s.nodes, " nodes, seed ", seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					f := newFleet(t, seed, s.nodes, s.dcs, s.accounts, s.total)
+					f := newFleet(t, seed, s.nodes, s.dcs, s.accounts, s.totalRate)
 					scenario(t, f)
 					name, worst := f.worstWindow()
-					t.Logf("worst window: account %s at %.2f of the accepted requests; refused fraction %.4f; %d messages", name, worst, f.refusedFraction(), f.messages)
-					Convey("No window exceeds the accepted number of requests", t, func() { So(worst, ShouldBeLessThanOrEqualTo, 1) })
+					t.Logf("worst window: account %s at %.2f of the allowed requests; refused fraction %.4f; %d messages", name, worst, f.refusedFraction(), f.messages)
+					Convey("No window exceeds the allowed number of requests", t, func() { So(worst, ShouldBeLessThanOrEqualTo, 1) })
 					f.close()
 					time.Sleep(time.Minute)
 				})
@@ -277,17 +278,17 @@
 // An account sends almost five times its limit. All nodes must learn of the
 // usage before a window's allowance is used up.
 func TestSurgeIsHeldToLimit(t *testing.T) {
-	for _, which := range []Name{"a0", "a3", "a20"} {
+	for _, name := range []Name{"a0", "a3", "a20"} {
 		runOnFleets(t, fleetSizes, func(t *testing.T, f *fleet) {
 			f.run(4 * time.Second)
-			f.load[which] = surgeFactor
+			f.load[name] = surgeFactor
 			f.resetCounts()
 			f.run(8 * time.Second)
-			a := f.registry.ByName(which)
-			got := f.requested[which] - f.refused[which]
-			Convey("It gets most of its limit, and other accounts are not refused", t, func() {
+			a := f.registry.ByName(name)
+			got := f.requested[name] - f.refused[name]
+			Convey("The account gets most of its limit, and other accounts are not refused", t, func() {
 				So(float64(got), ShouldBeGreaterThan, 0.75*a.Rate*8)
-				f.requested[which], f.refused[which] = 0, 0
+				f.requested[name], f.refused[name] = 0, 0
 				So(f.refusedFraction(), ShouldBeLessThan, 0.002)
 			})
 		})
@@ -337,7 +338,7 @@
 }
 
 // A third of the nodes, collectors among them, are disconnected during a surge,
-// and then a collector is killed.
+// and then a collector is killed. Neither may let an account exceed its limit.
 func TestLimitHoldsWithPartitionedNodes(t *testing.T) { runOnFleets(t, fleetSizes, partitionNodes) }
 
 func partitionNodes(_ *testing.T, f *fleet) {
--- a/account/limiter.go
+++ b/account/limiter.go
@@ -28,7 +28,7 @@
 		mu       sync.Mutex
 		buckets  map[Name]*bucket
 		fallback bool // no collector is reachable
-		nodes    int  // number of nodes, as last reported
+		nodes    int  // as set by SetNodeCount
 	}
 
 	// bucket is a node's local token bucket for one account.
--- a/account/registry.go
+++ b/account/registry.go
@@ -45,7 +45,7 @@
 // NewRegistry validates the accounts and indexes them. The error wraps
 // ErrInvalid and lists every problem by account name, without keys.
 func NewRegistry(all []Account) (*Registry, error) {
-	b := &Registry{all: all, byKey: map[Digest]*Account{}, byName: map[Name]*Account{}}
+	r := &Registry{all: all, byKey: map[Digest]*Account{}, byName: map[Name]*Account{}}
 	var problems []error
 	addProblem := func(a *Account, reason string) {
 		problems = append(problems, eris.Errorf("account %q: %s", a.Name, reason))
@@ -55,30 +55,30 @@
 		if a.Name == "" {
 			addProblem(a, "missing name")
 		}
-		if b.byName[a.Name] != nil {
+		if r.byName[a.Name] != nil {
 			addProblem(a, "duplicate name")
 		}
-		b.byName[a.Name] = a
+		r.byName[a.Name] = a
 		if !(a.Rate >= 0) || !(a.Burst >= 0) {
 			addProblem(a, "rate and burst must be non-negative numbers")
 		}
 		for _, k := range a.Keys {
-			if o := b.byKey[k]; o != nil && o.Name != a.Name {
-				addProblem(a, "API key also belongs to account "+string(o.Name))
+			if other := r.byKey[k]; other != nil && other.Name != a.Name {
+				addProblem(a, "API key also belongs to account "+string(other.Name))
 			}
 			if k == DigestOf("") {
 				addProblem(a, "empty API key")
 			}
-			b.byKey[k] = a
+			r.byKey[k] = a
 		}
-		b.priorities = append(b.priorities, a.Priority)
+		r.priorities = append(r.priorities, a.Priority)
 	}
 	if len(problems) > 0 {
 		return nil, eris.Wrap(ErrInvalid, errors.Join(problems...).Error())
 	}
-	slices.Sort(b.priorities)
-	b.priorities = slices.Compact(b.priorities)
-	return b, nil
+	slices.Sort(r.priorities)
+	r.priorities = slices.Compact(r.priorities)
+	return r, nil
 }
 
 // ByKey returns the account that an API key belongs to, or nil. The lookup is
--- a/account/registry_test.go
+++ b/account/registry_test.go
@@ -19,15 +19,15 @@
 
 func TestLookupByKey(t *testing.T) {
 	Convey("Each key finds its account; partial and unknown keys find none", t, func() {
-		b, err := NewRegistry([]Account{{Name: "a", Keys: digests("ka", "kb")}, {Name: "b", Keys: digests("kc")}, {Name: "c"}})
+		r, err := NewRegistry([]Account{{Name: "a", Keys: digests("ka", "kb")}, {Name: "b", Keys: digests("kc")}, {Name: "c"}})
 		So(err, ShouldBeNil)
-		So(b.ByKey("kb").Name, ShouldEqual, Name("a"))
-		So(b.ByKey("kc").Name, ShouldEqual, Name("b"))
+		So(r.ByKey("kb").Name, ShouldEqual, Name("a"))
+		So(r.ByKey("kc").Name, ShouldEqual, Name("b"))
 		for _, k := range []string{"", "k", "kaa", "KA", "ka ", "kd"} {
-			So(b.ByKey(k), ShouldBeNil)
+			So(r.ByKey(k), ShouldBeNil)
 		}
-		So(b.ByName("c"), ShouldNotBeNil)
-		So(b.ByName("d"), ShouldBeNil)
+		So(r.ByName("c"), ShouldNotBeNil)
+		So(r.ByName("d"), ShouldBeNil)
 	})
 }
 
@@ -36,8 +36,8 @@
 // key.
 func TestInvalidAccountsAreRejected(t *testing.T) {
 	for _, c := range []struct {
-		name, says string
-		all        []Account
+		name, wantErr string
+		all           []Account
 	}{
 		{"key shared by two accounts", "API key also belongs to account a", []Account{{Name: "a", Keys: digests("secret")}, {Name: "b", Keys: digests("secret")}}},
 		{"missing name", "missing name", []Account{{}}},
@@ -50,7 +50,7 @@
 		Convey(c.name, t, func() {
 			_, err := NewRegistry(c.all)
 			So(errors.Is(err, ErrInvalid), ShouldBeTrue)
-			So(err.Error(), ShouldContainSubstring, c.says)
+			So(err.Error(), ShouldContainSubstring, c.wantErr)
 			So(strings.Contains(err.Error(), "secret"), ShouldBeFalse)
 		})
 	}
@@ -65,13 +65,13 @@
 
 func TestRanksAreContiguous(t *testing.T) {
 	Convey("Ranks follow priorities; callers without an account rank last", t, func() {
-		b, err := NewRegistry([]Account{{Name: "a", Priority: 7}, {Name: "b", Priority: 0}, {Name: "c", Priority: 7}, {Name: "d", Priority: 3}})
+		r, err := NewRegistry([]Account{{Name: "a", Priority: 7}, {Name: "b", Priority: 0}, {Name: "c", Priority: 7}, {Name: "d", Priority: 3}})
 		So(err, ShouldBeNil)
-		So(b.NumRanks(), ShouldEqual, 3)
-		So(b.Rank(b.ByName("b")), ShouldEqual, 0)
-		So(b.Rank(b.ByName("d")), ShouldEqual, 1)
-		So(b.Rank(b.ByName("a")), ShouldEqual, 2)
-		So(b.Rank(nil), ShouldEqual, 2)
+		So(r.NumRanks(), ShouldEqual, 3)
+		So(r.Rank(r.ByName("b")), ShouldEqual, 0)
+		So(r.Rank(r.ByName("d")), ShouldEqual, 1)
+		So(r.Rank(r.ByName("a")), ShouldEqual, 2)
+		So(r.Rank(nil), ShouldEqual, 2)
 		none, err := NewRegistry(nil)
 		So(err, ShouldBeNil)
 		So(none.NumRanks(), ShouldEqual, 1)
--- a/account/usage.go
+++ b/account/usage.go
@@ -16,7 +16,7 @@
 		_msgpack  struct{} `msgpack:",as_array"`
 		Account   Name
 		Requested int32
-		Admitted  int32 // less returned tokens
+		Admitted  int32 // less refunded tokens
 	}
 
 	// Report is the usage that a source sends to a collector. It is sent
--- a/account/usage_test.go
+++ b/account/usage_test.go
@@ -23,20 +23,20 @@
 		if msgpack.Unmarshal(b, &r) != nil {
 			return
 		}
-		of := NewAggregator().Add(registry, r)
-		out, err := msgpack.Marshal(Standings{Entries: of})
+		standings := NewAggregator().Add(registry, r)
+		out, err := msgpack.Marshal(Standings{Entries: standings})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got Standings
-		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Entries) != len(of) {
+		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Entries) != len(standings) {
 			t.Fatal(got, err)
 		}
 	})
 }
 
-// BenchmarkTake measures the decision on one request with a thousand accounts.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkAllow measures the decision on one request with a thousand accounts.
+func BenchmarkAllow(b *testing.B) {
 	l := NewLimiter()
 	all := make([]Account, 1000)
 	for i := range all {
--- a/budget/chain_test.go
+++ b/budget/chain_test.go
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Retries stay under a fifth at each tier, and nodes use the allowed ratio", t, func() {
 			r := rand.New(rand.NewPCG(1, 2))
-			// The ratio and slack of the production configuration.
+			// Ratio and MinRetries are those of the production configuration.
 			tiers := chainOfTiers(4, 16, RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.05, MinRetries: 2})
 			for range 20000 {
 				send(r, tiers, 0.4, false)
--- a/budget/window.go
+++ b/budget/window.go
@@ -14,7 +14,7 @@
 	RetryWindowConfig struct {
 		Span       time.Duration // length of the sliding window
 		Ratio      float64       // retries allowed per first try
-		MinRetries float64       // retries allowed in addition
+		MinRetries float64       // retries allowed in addition, also without first tries
 	}
 
 	// RetryWindow limits the retries that one node sends to one service over a
--- a/budget/window_test.go
+++ b/budget/window_test.go
@@ -12,7 +12,7 @@
 // long a failure lasts, counting requests made by retries.
 func TestRetriesStayWithinRatio(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Within any window", t, func() {
+		Convey("Retries stay within the ratio in any window", t, func() {
 			w := NewRetryWindow(RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 2})
 			var at []time.Time
 			for i := range 3000 {
@@ -37,7 +37,7 @@
 			}
 			So(len(at), ShouldBeGreaterThan, 250)
 		})
-		Convey("After a pause only the slack is left", t, func() {
+		Convey("After a pause only MinRetries are left", t, func() {
 			w := NewRetryWindow(RetryWindowConfig{Span: 10 * time.Second, Ratio: 0.1, MinRetries: 2})
 			for range 100 {
 				w.CountFirstTry()
--- a/owner/arbiter.go
+++ b/owner/arbiter.go
@@ -23,7 +23,7 @@
 	// one can have run the key or can run it later.
 	Run Verdict = iota
 	// Decline means that this instance has not run the key and, having
-	// declined, never will. Another instance in the key's rank may.
+	// declined, never will. Another instance may.
 	Decline
 	// Uncertain means that the key may have run in an earlier process of
 	// this instance or before the dedup window, or that its timestamp is
@@ -51,9 +51,9 @@
 		cfg     Config
 		started time.Time
 
-		mu        sync.Mutex
-		graphs    []appliedGraph // oldest first
-		confirmed bool
+		mu         sync.Mutex
+		graphs     []appliedGraph // oldest first
+		vmListRead bool
 	}
 
 	// appliedGraph is a call graph and the time from which it was in force at
@@ -97,11 +97,11 @@
 }
 
 // SetVMListRead records that this process has read the VM list. Until then
-// keys are declined, since this may be a restart on a VM that others count as
-// gone.
+// keys are declined, since this may be a restart on a VM that others consider to
+// have left.
 func (a *Arbiter) SetVMListRead() {
 	a.mu.Lock()
-	a.confirmed = true
+	a.vmListRead = true
 	a.mu.Unlock()
 }
 
@@ -109,7 +109,7 @@
 func (a *Arbiter) VMListRead() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.confirmed
+	return a.vmListRead
 }
 
 // Claim decides on key for an operation of service, given the instances that
@@ -118,29 +118,29 @@
 // It guards against an action that runs twice: on two instances or in two
 // processes of one, when an owner is killed, a new graph is applied or an
 // instance leaves, and the caller's retry finds an empty dedup window. Every
-// retry follows the time in the key, so an instance whose process and rank are
-// older than the key has seen all of them.
+// try is made after the timestamp in the key, so an instance whose process and
+// rank are older than that has received every try.
 func (a *Arbiter) Claim(service string, key call.Key, declined []string) Verdict {
-	made, err := key.Created()
+	created, err := key.Created()
 	if err != nil {
 		return Uncertain
 	}
 	// A timestamp ahead of this node's clock would make the key look newer than
 	// a process that started after its first try.
-	age := time.Since(made)
-	if made.Before(a.started) || age >= a.cfg.DedupWindow-a.cfg.ClockSkew || age < -a.cfg.ClockSkew {
+	age := time.Since(created)
+	if created.Before(a.started) || age >= a.cfg.DedupWindow-a.cfg.ClockSkew || age < -a.cfg.ClockSkew {
 		return Uncertain
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.confirmed {
+	if !a.vmListRead {
 		return Decline
 	}
 	for _, applied := range slices.Backward(a.graphs) {
-		if !a.isNext(applied.graph, service, key, made, declined) {
+		if !a.isNext(applied.graph, service, key, created, declined) {
 			return Decline
 		}
-		if made.After(applied.appliedAt.Add(PropagationDelay)) {
+		if created.After(applied.appliedAt.Add(PropagationDelay)) {
 			return Run
 		}
 	}
@@ -148,8 +148,8 @@
 }
 
 // isNext reports whether every instance ranked above this one in g has declined
-// the key or was gone before the key was made.
-func (a *Arbiter) isNext(g *callgraph.Graph, service string, key call.Key, made time.Time, declined []string) bool {
+// the key or had left before the key was created.
+func (a *Arbiter) isNext(g *callgraph.Graph, service string, key call.Key, created time.Time, declined []string) bool {
 	s := g.Services[service]
 	if s == nil {
 		return false
@@ -158,13 +158,13 @@
 		if in.Name == a.cfg.Instance {
 			return true
 		}
-		if !slices.Contains(declined, in.Name) && !a.gone(in.Name, made) {
+		if !slices.Contains(declined, in.Name) && !a.hasLeft(in.Name, created) {
 			return false
 		}
 	}
 	return false
 }
 
-func (a *Arbiter) gone(instance string, before time.Time) bool {
+func (a *Arbiter) hasLeft(instance string, before time.Time) bool {
 	return a.cfg.HasLeft != nil && a.cfg.HasLeft(instance, before)
 }
--- a/owner/arbiter_test.go
+++ b/owner/arbiter_test.go
@@ -21,10 +21,10 @@
 // newArbiter returns the Arbiter of an instance whose process has just started
 // under g and has read the VM list.
 func newArbiter(name string, g *callgraph.Graph) *owner.Arbiter {
-	b := owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window})
-	b.SetGraph(g)
-	b.SetVMListRead()
-	return b
+	a := owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window})
+	a.SetGraph(g)
+	a.SetVMListRead()
+	return a
 }
 
 // keyNow returns the n-th key made at the current time. Unlike call.NewKey, it
@@ -80,13 +80,13 @@
 // it has read the VM list, it must not run a key from a stale router.
 func TestRestartOnLeavingVMDeclinesKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := owner.NewArbiter(owner.Config{Instance: "versand-1", DedupWindow: window})
-		b.SetGraph(newGraph(1, pool[0]))
+		a := owner.NewArbiter(owner.Config{Instance: "versand-1", DedupWindow: window})
+		a.SetGraph(newGraph(1, pool[0]))
 		time.Sleep(time.Second)
 		Convey("Keys are declined until the VM list has been read", t, func() {
-			So(b.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Decline)
-			b.SetVMListRead()
-			So(b.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Run)
+			So(a.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Decline)
+			a.SetVMListRead()
+			So(a.Claim("versand", keyNow("nord", 1), nil), ShouldEqual, owner.Run)
 		})
 	})
 }
@@ -97,18 +97,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		before := keyNow("nord", 1)
 		time.Sleep(time.Second)
-		b := newArbiter("versand-1", newGraph(1, pool[0]))
+		a := newArbiter("versand-1", newGraph(1, pool[0]))
 		time.Sleep(time.Second)
 		key := keyNow("nord", 1)
 		Convey("Only a key made since the process started runs", t, func() {
-			So(b.Claim("versand", before, nil), ShouldEqual, owner.Uncertain)
-			So(b.Claim("versand", "nord.not-a-uuid", nil), ShouldEqual, owner.Uncertain)
-			So(b.Claim("versand", "nord.7fffffff-ffff-7000-8000-000000000000", nil), ShouldEqual, owner.Uncertain)
-			So(b.Claim("versand", key, nil), ShouldEqual, owner.Run)
+			So(a.Claim("versand", before, nil), ShouldEqual, owner.Uncertain)
+			So(a.Claim("versand", "nord.not-a-uuid", nil), ShouldEqual, owner.Uncertain)
+			So(a.Claim("versand", "nord.7fffffff-ffff-7000-8000-000000000000", nil), ShouldEqual, owner.Uncertain)
+			So(a.Claim("versand", key, nil), ShouldEqual, owner.Run)
 		})
 		time.Sleep(window)
 		Convey("The key no longer runs once it is older than the dedup window", t, func() {
-			So(b.Claim("versand", key, nil), ShouldEqual, owner.Uncertain)
+			So(a.Claim("versand", key, nil), ShouldEqual, owner.Uncertain)
 		})
 	})
 }
--- a/owner/bench_test.go
+++ b/owner/bench_test.go
@@ -17,12 +17,12 @@
 	for i := range instances {
 		instances[i] = callgraph.Instance{Name: fmt.Sprintf("versand-%d", i+1), DC: callgraph.DC(fmt.Sprint(i % 6))}
 	}
-	bk := owner.NewArbiter(owner.Config{Instance: "versand-1", DedupWindow: time.Hour})
-	bk.SetGraph(&callgraph.Graph{Version: 1, Services: map[string]*callgraph.Service{"versand": {Instances: instances}}})
-	bk.SetVMListRead()
+	a := owner.NewArbiter(owner.Config{Instance: "versand-1", DedupWindow: time.Hour})
+	a.SetGraph(&callgraph.Graph{Version: 1, Services: map[string]*callgraph.Service{"versand": {Instances: instances}}})
+	a.SetVMListRead()
 	key := call.NewKey("0")
 	b.ReportAllocs()
 	for b.Loop() {
-		bk.Claim("versand", key, nil)
+		a.Claim("versand", key, nil)
 	}
 }
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -80,7 +80,7 @@
 func (f *fleet) start(name string) *process {
 	p := &process{table: route.NewTable("nord")}
 	if name != "" {
-		p.arbiter = owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window, HasLeft: p.gone})
+		p.arbiter = owner.NewArbiter(owner.Config{Instance: name, DedupWindow: window, HasLeft: p.hasLeft})
 		p.handler = filter.Chain(filter.HandlerFunc(func(_ context.Context, c *filter.Call) call.Answer {
 			f.runs[c.Request.Key]++
 			return call.Answer{Status: call.OK}
@@ -90,7 +90,7 @@
 	return p
 }
 
-func (p *process) gone(instance string, at time.Time) bool {
+func (p *process) hasLeft(instance string, at time.Time) bool {
 	return p.table.LeavingBefore(instance, at.Add(-owner.PropagationDelay))
 }
 
@@ -122,11 +122,11 @@
 // fails at an unreachable instance. With pause, the instance delays the call
 // until Wake.
 func (f *fleet) send(router *process, key call.Key, unreachable map[string]bool, pause bool) bool {
-	made, _ := key.Created()
+	created, _ := key.Created()
 	var declined []string
 	for {
 		in, ok := owner.Next(router.graph.Services["versand"].Instances, key, declined, func(name string) bool {
-			return router.gone(name, made.Add(-listLag-time.Second))
+			return router.hasLeft(name, created.Add(-listLag-time.Second))
 		})
 		if !ok || unreachable[in.Name] {
 			return false
@@ -278,7 +278,7 @@
 	})
 }
 
-// Rendezvous hashing must give each instance its share of the keys.
+// Rendezvous hashing must give each instance an equal share of the keys.
 func TestRankSpreadsKeysEvenly(t *testing.T) {
 	const keys = 30_000
 	first := map[string]int{}
--- a/owner/rank.go
+++ b/owner/rank.go
@@ -10,10 +10,10 @@
 )
 
 // Next returns the instance to which a router sends key next: the highest in
-// rank that has not declined it and was not gone when the key was made.
-func Next(instances []callgraph.Instance, key call.Key, declined []string, gone func(instance string) bool) (callgraph.Instance, bool) {
+// rank that has not declined it and had not left when the key was created.
+func Next(instances []callgraph.Instance, key call.Key, declined []string, hasLeft func(instance string) bool) (callgraph.Instance, bool) {
 	for _, in := range Rank(instances, key) {
-		if !slices.Contains(declined, in.Name) && !gone(in.Name) {
+		if !slices.Contains(declined, in.Name) && !hasLeft(in.Name) {
 			return in, true
 		}
 	}
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -67,9 +67,9 @@
 }
 
 func newFilledTracker(records int) *Tracker {
-	b := newTestTracker()
+	tracker := newTestTracker()
 	for i := range records {
-		b.RecordEnd(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
+		tracker.RecordEnd(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
 	}
-	return b
+	return tracker
 }
--- a/quarantine/compat_test.go
+++ b/quarantine/compat_test.go
@@ -38,9 +38,9 @@
 			return
 		}
 		tracker := newTestTracker()
-		for _, of := range tracker.Merge(got) {
-			tracker.Stage(of, "a")
-			if n := len(tracker.records[of].Ends); n > maxEnds {
+		for _, fp := range tracker.Merge(got) {
+			tracker.Stage(fp, "a")
+			if n := len(tracker.records[fp].Ends); n > maxEnds {
 				t.Fatalf("record holds %d ends, more than maxEnds", n)
 			}
 		}
--- a/quarantine/isolation_lock.go
+++ b/quarantine/isolation_lock.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// IsolationLock is a lock that keeps an isolated request at one instance from
-// running beside other suspect or isolated requests. Waiters are served in
+// IsolationLock keeps an isolated request at an instance from running
+// concurrently with suspect or other isolated requests. Waiters are served in
 // order of arrival. It is safe for concurrent use.
 type IsolationLock struct {
 	sem *semaphore.Weighted
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -153,10 +153,10 @@
 
 func (f *fleet) check(t *rapid.T) {
 	time.Sleep(provisionalTerm)
-	for i, b := range f.trackers {
+	for i, tracker := range f.trackers {
 		for fp := range Fingerprint(3) {
 			for _, c := range []Caller{"a", "b"} {
-				if got, want := b.Stage(fp, c), f.oracles[i].stage(fp, c); got != want {
+				if got, want := tracker.Stage(fp, c), f.oracles[i].stage(fp, c); got != want {
 					t.Fatalf("node %d, request %d of caller %s: stage %s, want %s; facts %+v", i, fp, c, got, want, f.oracles[i].factsFor(fp))
 				}
 			}
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,11 +7,12 @@
 
 const (
 	// isolateAfter is the number of ends after which a request runs isolated.
-	// All requests in progress (a hundred) become suspect at the first end; few
-	// of them are also in progress at the second.
+	// All requests in progress, about a hundred, become suspect at the first
+	// end; few of them are also in progress at the second.
 	isolateAfter = 2
 	// quarantineAfter is the number of ends after which a request is
-	// quarantined. The third end, while isolated, tells it from other suspects.
+	// quarantined. The third end, while isolated, distinguishes it from other
+	// suspects.
 	quarantineAfter = 3
 	// Term is how long a request is quarantined after the last end. Then it may
 	// run isolated, as the request or the service may have been fixed. Each
@@ -27,8 +28,8 @@
 	// harmless request is retried after this time.
 	otherCallerTerm = time.Minute
 	// minUnrelatedEnds is the number of ends unrelated to a request, and not
-	// attributed to another, from which one conclusive end is not enough to
-	// quarantine it. Where instances also end spontaneously, an end may
+	// attributed to another, at which one conclusive end is no longer enough to
+	// quarantine it for Term. Where instances also end spontaneously, an end may
 	// coincide with an isolated run.
 	minUnrelatedEnds = 3
 	// provisionalTerm is the term after quarantineAfter ends without a
@@ -44,10 +45,12 @@
 const (
 	// Free requests run without restriction.
 	Free Stage = iota
-	// Suspect requests run on any instance, but not beside an isolated request.
+	// Suspect requests run on any instance, but not concurrently with an
+	// isolated request.
 	Suspect
-	// Isolated requests run on one instance of their service and not beside
-	// suspect or isolated requests, so that an end can be attributed to them.
+	// Isolated requests run on one instance of their service and not
+	// concurrently with suspect or other isolated requests, so that an end can
+	// be attributed to them.
 	Isolated
 	// Quarantined requests do not run.
 	Quarantined
@@ -79,10 +82,10 @@
 	evidence interface {
 		// conclusive reports whether an end during an isolated run was caused
 		// by the request.
-		conclusive(e *Record, end End) bool
+		conclusive(r *Record, end End) bool
 		// hasUnrelatedEnds reports whether instances also ended without the
 		// request and without another request known to end them.
-		hasUnrelatedEnds(e *Record) bool
+		hasUnrelatedEnds(r *Record) bool
 	}
 
 	// Record is what is known of one request.
@@ -156,7 +159,7 @@
 	return worst
 }
 
-// hasEnd reports whether the request has an uncleared end with the given ID.
+// hasEnd reports whether the request has an unanswered end with the given ID.
 func (r *Record) hasEnd(id EndID) bool {
 	return slices.ContainsFunc(r.Ends, func(e End) bool { return e.ID == id && !e.Answered })
 }
@@ -186,7 +189,7 @@
 	return changed
 }
 
-// insertEnd adds an end, replacing a cleared one if there are maxEnds already.
+// insertEnd adds an end, replacing an answered one if there are maxEnds already.
 func (r *Record) insertEnd(e End) bool {
 	if len(r.Ends) < maxEnds {
 		r.Ends = append(r.Ends, e)
@@ -200,8 +203,8 @@
 	return true
 }
 
-// clear records that the request was answered for a caller, and reports whether
-// the record changed.
+// clear records that the request was answered for a caller, which clears that
+// caller's ends. It reports whether the record changed.
 func (r *Record) clear(c Caller) bool {
 	changed := r.addAnswered(c)
 	for i := range r.Ends {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -24,54 +24,55 @@
 // the second and quarantined after the third.
 func TestQuarantineAfterThreeEnds(t *testing.T) {
 	Convey("Free, suspect, isolated, quarantined", t, func() {
-		b := newTestTracker()
-		So(b.Stage(poison, "a"), ShouldEqual, Free)
-		So(b.RecordEnd(poison, newEnd(1, "a")), ShouldBeTrue)
-		So(b.Stage(poison, "a"), ShouldEqual, Suspect)
-		b.RecordEnd(poison, newEnd(2, "a"))
-		So(b.Stage(poison, "a"), ShouldEqual, Isolated)
-		b.RecordEnd(poison, newIsolatedEnd(3, "a"))
-		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
-		So(b.Remaining(poison, "a"), ShouldBeBetween, Term-time.Second, Term+1)
-		So(b.Count(Quarantined), ShouldEqual, 1)
+		tracker := newTestTracker()
+		So(tracker.Stage(poison, "a"), ShouldEqual, Free)
+		So(tracker.RecordEnd(poison, newEnd(1, "a")), ShouldBeTrue)
+		So(tracker.Stage(poison, "a"), ShouldEqual, Suspect)
+		tracker.RecordEnd(poison, newEnd(2, "a"))
+		So(tracker.Stage(poison, "a"), ShouldEqual, Isolated)
+		tracker.RecordEnd(poison, newIsolatedEnd(3, "a"))
+		So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
+		So(tracker.Remaining(poison, "a"), ShouldBeBetween, Term-time.Second, Term+1)
+		So(tracker.Count(Quarantined), ShouldEqual, 1)
 	})
 	Convey("An end recorded twice, by the nodes at both sides of a call, counts once", t, func() {
-		b := newTestTracker()
-		b.RecordEnd(poison, newEnd(1, "a"))
-		So(b.RecordEnd(poison, newEnd(1, "a")), ShouldBeFalse)
-		So(b.Stage(poison, "a"), ShouldEqual, Suspect)
+		tracker := newTestTracker()
+		tracker.RecordEnd(poison, newEnd(1, "a"))
+		So(tracker.RecordEnd(poison, newEnd(1, "a")), ShouldBeFalse)
+		So(tracker.Stage(poison, "a"), ShouldEqual, Suspect)
 	})
 	Convey("If quarantine is off, the request remains free", t, func() {
-		b := NewTracker(Config{Disabled: true, Log: &log.Logger{Handler: discard.New()}})
+		tracker := NewTracker(Config{Disabled: true, Log: &log.Logger{Handler: discard.New()}})
 		for i := range 5 {
-			b.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
 		}
-		So(b.Stage(poison, "a"), ShouldEqual, Free)
+		So(tracker.Stage(poison, "a"), ShouldEqual, Free)
 	})
 }
 
-// Five instances lose power while they run the same harmless request.
+// Five instances lose power while they run the same harmless request, which must
+// not stay quarantined.
 func TestSimultaneousEndsQuarantineBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The request is quarantined for provisionalTerm, then isolated until it is answered", t, func() {
-			b := newTestTracker()
+			tracker := newTestTracker()
 			for i := range 5 {
-				b.RecordEnd(poison, newEnd(EndID(i+1), "a"))
+				tracker.RecordEnd(poison, newEnd(EndID(i+1), "a"))
 			}
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
-			So(b.Remaining(poison, "a"), ShouldEqual, provisionalTerm)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Remaining(poison, "a"), ShouldEqual, provisionalTerm)
 			time.Sleep(provisionalTerm)
-			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
-			So(b.RecordAnswer(poison, "a"), ShouldBeTrue)
-			So(b.Stage(poison, "a"), ShouldEqual, Free)
-			So(b.RecordAnswer(poison, "a"), ShouldBeFalse)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Isolated)
+			So(tracker.RecordAnswer(poison, "a"), ShouldBeTrue)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Free)
+			So(tracker.RecordAnswer(poison, "a"), ShouldBeFalse)
 			// Ends after the answer count from zero.
-			b.RecordEnd(poison, newEnd(11, "a"))
-			So(b.Stage(poison, "a"), ShouldEqual, Suspect)
-			b.RecordEnd(poison, newEnd(12, "a"))
-			b.RecordEnd(poison, newIsolatedEnd(13, "a"))
+			tracker.RecordEnd(poison, newEnd(11, "a"))
+			So(tracker.Stage(poison, "a"), ShouldEqual, Suspect)
+			tracker.RecordEnd(poison, newEnd(12, "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(13, "a"))
 			time.Sleep(provisionalTerm)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
@@ -80,42 +81,42 @@
 // minute. Then it runs isolated, and is cleared or quarantined for all callers.
 func TestSameRequestFromAnotherCaller(t *testing.T) {
 	quarantinedTracker := func() *Tracker {
-		b := newTestTracker()
-		b.RecordEnd(poison, newEnd(1, "a"))
-		b.RecordEnd(poison, newEnd(2, "a"))
-		b.RecordEnd(poison, newIsolatedEnd(3, "a"))
+		tracker := newTestTracker()
+		tracker.RecordEnd(poison, newEnd(1, "a"))
+		tracker.RecordEnd(poison, newEnd(2, "a"))
+		tracker.RecordEnd(poison, newIsolatedEnd(3, "a"))
 		time.Sleep(provisionalTerm)
-		return b
+		return tracker
 	}
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Another caller's request runs isolated after a minute and is free once answered; other callers' requests are not cleared", t, func() {
-			b := quarantinedTracker()
-			So(b.Stage(poison, "b"), ShouldEqual, Quarantined)
-			So(b.Remaining(poison, "b"), ShouldEqual, time.Minute-provisionalTerm)
-			So(b.Remaining(poison, "a"), ShouldEqual, Term-provisionalTerm)
+			tracker := quarantinedTracker()
+			So(tracker.Stage(poison, "b"), ShouldEqual, Quarantined)
+			So(tracker.Remaining(poison, "b"), ShouldEqual, time.Minute-provisionalTerm)
+			So(tracker.Remaining(poison, "a"), ShouldEqual, Term-provisionalTerm)
 			time.Sleep(time.Minute)
-			So(b.Stage(poison, "b"), ShouldEqual, Isolated)
-			b.RecordAnswer(poison, "b")
-			So(b.Stage(poison, "b"), ShouldEqual, Free)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
-			So(b.Stage(poison, "c"), ShouldEqual, Isolated)
+			So(tracker.Stage(poison, "b"), ShouldEqual, Isolated)
+			tracker.RecordAnswer(poison, "b")
+			So(tracker.Stage(poison, "b"), ShouldEqual, Free)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "c"), ShouldEqual, Isolated)
 		})
 		Convey("If it ends one more instance, it is quarantined for all callers", t, func() {
-			b := quarantinedTracker()
+			tracker := quarantinedTracker()
 			time.Sleep(time.Minute)
-			b.RecordEnd(poison, newIsolatedEnd(4, "b"))
+			tracker.RecordEnd(poison, newIsolatedEnd(4, "b"))
 			time.Sleep(Term)
-			So(b.Stage(poison, "b"), ShouldEqual, Quarantined)
-			So(b.Stage(poison, "c"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "b"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "c"), ShouldEqual, Quarantined)
 		})
 		Convey("A caller that was answered before is not affected", t, func() {
-			b := newTestTracker()
-			b.RecordEnd(poison, newEnd(1, "a"))
-			b.RecordAnswer(poison, "b")
-			b.RecordEnd(poison, newEnd(2, "a"))
-			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
-			So(b.Stage(poison, "b"), ShouldEqual, Free)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			tracker := newTestTracker()
+			tracker.RecordEnd(poison, newEnd(1, "a"))
+			tracker.RecordAnswer(poison, "b")
+			tracker.RecordEnd(poison, newEnd(2, "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(3, "a"))
+			So(tracker.Stage(poison, "b"), ShouldEqual, Free)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
@@ -125,94 +126,96 @@
 func TestUnrelatedEndsRequireSecondConclusiveEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		trackerWithUnrelatedEnds := func(unrelated int) *Tracker {
-			b := newTestTracker()
+			tracker := newTestTracker()
 			for i := range unrelated {
-				b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
+				tracker.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 			}
-			b.RecordEnd(poison, newEnd(1, "a"))
-			b.RecordEnd(poison, newEnd(2, "a"))
-			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
+			tracker.RecordEnd(poison, newEnd(1, "a"))
+			tracker.RecordEnd(poison, newEnd(2, "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(3, "a"))
 			time.Sleep(provisionalTerm)
-			return b
+			return tracker
 		}
 		Convey("With two unrelated ends, one conclusive end is enough", t, func() {
 			So(trackerWithUnrelatedEnds(2).Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, the request runs isolated again until a second conclusive end", t, func() {
-			b := trackerWithUnrelatedEnds(3)
-			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
-			b.RecordEnd(poison, newIsolatedEnd(4, "a"))
+			tracker := trackerWithUnrelatedEnds(3)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Isolated)
+			tracker.RecordEnd(poison, newIsolatedEnd(4, "a"))
 			time.Sleep(provisionalTerm)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("With three, an answer clears the request", t, func() {
-			b := trackerWithUnrelatedEnds(3)
-			b.RecordAnswer(poison, "a")
-			So(b.Stage(poison, "a"), ShouldEqual, Free)
+			tracker := trackerWithUnrelatedEnds(3)
+			tracker.RecordAnswer(poison, "a")
+			So(tracker.Stage(poison, "a"), ShouldEqual, Free)
 		})
 		Convey("Ends attributed to another request are not unrelated", t, func() {
-			b := trackerWithUnrelatedEnds(3)
+			tracker := trackerWithUnrelatedEnds(3)
 			for i := range 3 {
-				b.RecordEnd(9, newIsolatedEnd(EndID(100+i), "a"))
+				tracker.RecordEnd(9, newIsolatedEnd(EndID(100+i), "a"))
 			}
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// A harmless request was isolated at an end that an unknown request caused. It
-// must run again once that request has ended another instance while isolated.
+// A harmless request was isolated at an end caused by a request not yet known to
+// be harmful. It must run again once that one has ended another instance while
+// isolated.
 func TestEndCausedByAnotherRequest(t *testing.T) {
 	const harmless = Fingerprint(8)
 	synctest.Test(t, func(t *testing.T) {
 		trackerWithSharedEnd := func() *Tracker {
-			b := newTestTracker()
-			b.RecordEnd(harmless, newEnd(1, "a"))
-			b.RecordEnd(harmless, newEnd(2, "a"))
-			b.RecordEnd(harmless, newIsolatedEnd(3, "a"))
-			b.RecordEnd(poison, newEnd(3, "a"))
+			tracker := newTestTracker()
+			tracker.RecordEnd(harmless, newEnd(1, "a"))
+			tracker.RecordEnd(harmless, newEnd(2, "a"))
+			tracker.RecordEnd(harmless, newIsolatedEnd(3, "a"))
+			tracker.RecordEnd(poison, newEnd(3, "a"))
 			time.Sleep(provisionalTerm)
-			return b
+			return tracker
 		}
 		Convey("Once the other request is known, it is quarantined and the harmless one runs isolated", t, func() {
-			b := trackerWithSharedEnd()
-			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
-			b.RecordEnd(poison, newEnd(4, "a"))
-			b.RecordEnd(poison, newIsolatedEnd(5, "a"))
+			tracker := trackerWithSharedEnd()
+			So(tracker.Stage(harmless, "a"), ShouldEqual, Quarantined)
+			tracker.RecordEnd(poison, newEnd(4, "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(5, "a"))
 			time.Sleep(provisionalTerm)
-			So(b.Stage(harmless, "a"), ShouldEqual, Isolated)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(harmless, "a"), ShouldEqual, Isolated)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 		})
 		Convey("Not if the other request has since been answered", t, func() {
-			b := trackerWithSharedEnd()
-			b.RecordEnd(poison, newIsolatedEnd(5, "a"))
-			b.RecordAnswer(poison, "a")
-			So(b.Stage(harmless, "a"), ShouldEqual, Quarantined)
+			tracker := trackerWithSharedEnd()
+			tracker.RecordEnd(poison, newIsolatedEnd(5, "a"))
+			tracker.RecordAnswer(poison, "a")
+			So(tracker.Stage(harmless, "a"), ShouldEqual, Quarantined)
 		})
 	})
 }
 
-// The request or the service may be fixed while it is quarantined.
+// A request must not stay quarantined forever, since the request or the service
+// may have been fixed.
 func TestQuarantineExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("The request runs isolated after its term, and a further end doubles the term", t, func() {
-			b := newTestTracker()
-			b.RecordEnd(poison, newEnd(1, "a"))
-			b.RecordEnd(poison, newEnd(2, "a"))
-			b.RecordEnd(poison, newIsolatedEnd(3, "a"))
+			tracker := newTestTracker()
+			tracker.RecordEnd(poison, newEnd(1, "a"))
+			tracker.RecordEnd(poison, newEnd(2, "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(3, "a"))
 			time.Sleep(Term - time.Second)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
-			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
-			b.RecordEnd(poison, newIsolatedEnd(4, "a"))
+			So(tracker.Stage(poison, "a"), ShouldEqual, Isolated)
+			tracker.RecordEnd(poison, newIsolatedEnd(4, "a"))
 			time.Sleep(2*Term - time.Second)
-			So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 			time.Sleep(2 * time.Second)
-			So(b.Stage(poison, "a"), ShouldEqual, Isolated)
+			So(tracker.Stage(poison, "a"), ShouldEqual, Isolated)
 			time.Sleep(recordTTL)
-			b.RecordEnd(1, newEnd(5, "a"))
-			So(b.Stage(poison, "a"), ShouldEqual, Free)
-			So(len(b.records), ShouldEqual, 1)
+			tracker.RecordEnd(1, newEnd(5, "a"))
+			So(tracker.Stage(poison, "a"), ShouldEqual, Free)
+			So(len(tracker.records), ShouldEqual, 1)
 		})
 	})
 }
@@ -235,30 +238,31 @@
 	})
 }
 
-// Hundreds of instances end, each with many requests in progress.
+// Instances end with many requests in progress. The records must stay bounded,
+// and evictions must not release a quarantined request.
 func TestRecordsAreBounded(t *testing.T) {
 	Convey("Quarantined requests are evicted last", t, func() {
-		b := newTestTracker()
+		tracker := newTestTracker()
 		for i := range 3 {
-			b.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(EndID(i+1), "a"))
 		}
 		for i := range 2 * maxRecords {
-			b.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
+			tracker.RecordEnd(Fingerprint(100+i), newEnd(EndID(100+i), "a"))
 		}
-		So(len(b.records), ShouldBeLessThanOrEqualTo, maxRecords)
-		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+		So(len(tracker.records), ShouldBeLessThanOrEqualTo, maxRecords)
+		So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 	})
 	Convey("Answered ends of a request are replaced first", t, func() {
-		b := newTestTracker()
+		tracker := newTestTracker()
 		for i := range 3 * maxEnds {
-			b.RecordEnd(poison, newEnd(EndID(i+1), "a"))
-			b.RecordAnswer(poison, "a")
+			tracker.RecordEnd(poison, newEnd(EndID(i+1), "a"))
+			tracker.RecordAnswer(poison, "a")
 		}
 		for i := range 3 {
-			b.RecordEnd(poison, newIsolatedEnd(EndID(1000+i), "a"))
+			tracker.RecordEnd(poison, newIsolatedEnd(EndID(1000+i), "a"))
 		}
-		So(len(b.records[poison].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
-		So(b.Stage(poison, "a"), ShouldEqual, Quarantined)
+		So(len(tracker.records[poison].Ends), ShouldBeLessThanOrEqualTo, maxEnds)
+		So(tracker.Stage(poison, "a"), ShouldEqual, Quarantined)
 	})
 }
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -42,9 +42,9 @@
 		propagation     time.Duration
 		spontaneousEnds float64 // per second
 
-		next       Fingerprint // of the next harmless request
-		scheduled  []func()    // to be called at the next tick
-		bystanders []Fingerprint
+		next       Fingerprint         // of the next harmless request
+		scheduled  []func()            // to be called at the next tick
+		bystanders []Fingerprint       // harmless requests in progress when an instance ended
 		poisonRuns map[Fingerprint]int // number of times each poison request ran
 		ended      map[Fingerprint][]time.Time
 		lateEnds   map[Fingerprint]int // ends later than convergenceTime after the third
@@ -81,14 +81,14 @@
 	if node%2 == 1 {
 		caller = "b"
 	}
-	b := s.trackers[node]
+	tracker := s.trackers[node]
 	var candidates []*instance
 	for _, in := range s.instances {
 		if !in.upSince.After(time.Now()) && len(in.executions) < maxConcurrent {
 			candidates = append(candidates, in)
 		}
 	}
-	stage := b.Stage(f, caller)
+	stage := tracker.Stage(f, caller)
 	if stage == Quarantined || len(candidates) == 0 {
 		return
 	}
@@ -127,7 +127,8 @@
 	})
 }
 
-// start simulates the node beside the instance.
+// start runs a request at an instance. If it is blocked there, start tries again
+// at each tick until the timeout.
 func (s *simulation) start(in *instance, e *execution, timeout time.Duration) {
 	e.stage = s.trackerOf(in).Stage(e.fingerprint, e.caller)
 	switch {
@@ -180,7 +181,7 @@
 			crash = true
 			remaining = append(remaining, e)
 		default:
-			s.answered(in, e)
+			s.recordAnswer(in, e)
 		}
 	}
 	in.executions = remaining
@@ -189,20 +190,20 @@
 	}
 }
 
-func (s *simulation) answered(in *instance, e *execution) {
-	b := s.trackerOf(in)
-	if b.RecordAnswer(e.fingerprint, e.caller) {
-		s.propagate(b, e.fingerprint)
+func (s *simulation) recordAnswer(in *instance, e *execution) {
+	tracker := s.trackerOf(in)
+	if tracker.RecordAnswer(e.fingerprint, e.caller) {
+		s.propagate(tracker, e.fingerprint)
 	}
 }
 
 func (s *simulation) crash(in *instance) {
-	b := s.trackerOf(in)
+	tracker := s.trackerOf(in)
 	s.lastID++
 	var fingerprints []Fingerprint
 	interrupted := in.executions
 	for _, e := range in.executions {
-		b.RecordEnd(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
+		tracker.RecordEnd(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
 		fingerprints = append(fingerprints, e.fingerprint)
 		if !e.poison {
 			s.bystanders = append(s.bystanders, e.fingerprint)
@@ -214,7 +215,7 @@
 		}
 	}
 	in.executions, in.upSince = nil, time.Now().Add(downTime)
-	s.propagate(b, fingerprints...)
+	s.propagate(tracker, fingerprints...)
 	for _, e := range interrupted {
 		at := s.rng.IntN(len(s.trackers))
 		s.schedule(retryDelay, func() { s.arrive(e.fingerprint, e.poison, at) }) // retry by the caller
@@ -223,8 +224,8 @@
 
 // propagate sends a Tracker's records to all nodes after the propagation
 // delay.
-func (s *simulation) propagate(b *Tracker, fs ...Fingerprint) {
-	report := b.Records(fs)
+func (s *simulation) propagate(tracker *Tracker, fs ...Fingerprint) {
+	report := tracker.Records(fs)
 	time.AfterFunc(s.propagation, func() {
 		for _, other := range s.trackers {
 			other.Merge(report)
@@ -327,8 +328,8 @@
 	withSpontaneousEnds = scenario{6, 30 * time.Millisecond, []Fingerprint{1}, 400 * time.Millisecond, 0.5}
 )
 
-// A harmless request that ran isolated beside a poison one not yet known must
-// not stay quarantined once the poison one has ended other instances.
+// A harmless request that ran isolated, concurrently with a poison one not yet
+// known, must not stay quarantined once the poison one has ended other instances.
 func TestThreeConcurrentPoisonRequests(t *testing.T) {
 	for _, seed := range []uint64{35, 42, 54, 90} {
 		threeConcurrent.run(t, seed)
@@ -341,8 +342,8 @@
 	withSpontaneousEnds.run(t, 43)
 }
 
-// All nodes restart without state while a request is quarantined. It may end
-// three instances again, and a fourth if another caller sends it.
+// All nodes restart without state while a request is quarantined. It may end at
+// most maxLateEnds more instances.
 func TestPoisonRequestAfterFullRestart(t *testing.T) {
 	for _, seed := range restartSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -93,9 +93,9 @@
 	return e.stage(c, t)
 }
 
-// conclusive implements evidence. An unknown request may have run beside the
-// isolated one. If it has since ended another instance while isolated, this end
-// is attributed to it.
+// conclusive implements evidence. A request not yet known to be harmful may have
+// run concurrently with the isolated one. If it has since ended another instance
+// while isolated, this end is attributed to it.
 func (t *Tracker) conclusive(r *Record, end End) bool {
 	for _, f := range t.byEnd[end.ID] {
 		if o := t.records[f]; f != r.Fingerprint && o != nil && o.endedIsolatedWithout(r) {
--- a/vouch/checker.go
+++ b/vouch/checker.go
@@ -10,12 +10,12 @@
 
 const (
 	// TTL is how long a vouch is valid. An instance that leaves unannounced
-	// may get requests for two more seconds, which bounds the sum of the
-	// oldest check that a vouch is based on, its term and the transit time
+	// may get requests for at most two more seconds, which bounds the sum of
+	// the age of the check that a vouch is based on, TTL and the transit time
 	// of a request.
 	TTL = 1200 * time.Millisecond
 	// RenewInterval is the interval at which a vouch is renewed: twice within
-	// its term, so that one lost request does not end it.
+	// TTL, so that it does not expire because of one lost request.
 	RenewInterval = 500 * time.Millisecond
 	// checkTTL is how long the result of a check is reused, as all nodes
 	// that use an instance ask at the same time.
@@ -68,7 +68,7 @@
 
 		mu           sync.Mutex
 		instance     *directory.Instance // as last listed
-		ended        bool                // this start of the instance is over
+		ended        bool                // this run of the instance is over
 		lastServing  time.Time           // last time the target was found serving
 		sourceLostAt time.Time           // last time the source did not answer a check
 		checkedAt    time.Time
@@ -80,8 +80,8 @@
 // NewChecker returns a Checker that has seen no instance.
 func NewChecker(cfg Config) *Checker { return &Checker{cfg: cfg} }
 
-// Observe records the local instance as listed. A new start, a new revision
-// or a leaving instance invalidates the last check.
+// Observe records the local instance as listed. The last check is invalidated
+// if the instance was restarted, has a new revision or is leaving.
 func (c *Checker) Observe(in directory.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,20 +92,20 @@
 }
 
 // RecordEnd records that nothing listens at the target's address any more. A
-// later instance at that address is a new start, even under the same ID, and
-// is vouched for only once it is listed.
+// later instance at that address is a new run, even under the same ID, and is
+// vouched for only once it is listed.
 func (c *Checker) RecordEnd() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ended, c.verdict = true, false
 }
 
-// Vouch reports whether this node vouches for a start of an instance for the
-// next TTL.
-func (c *Checker) Vouch(ctx context.Context, at directory.Start) bool {
+// Vouch reports whether this node vouches for a run of an instance for the next
+// TTL.
+func (c *Checker) Vouch(ctx context.Context, start directory.Start) bool {
 	for {
 		c.mu.Lock()
-		if c.instance == nil || c.instance.Start() != at || c.instance.Leaving || c.ended {
+		if c.instance == nil || c.instance.Start() != start || c.instance.Leaving || c.ended {
 			c.mu.Unlock()
 			return false
 		}
--- a/vouch/checker_test.go
+++ b/vouch/checker_test.go
@@ -51,8 +51,9 @@
 
 func (e *fakeEnv) start() directory.Start { return e.instance.Start() }
 
-// Entries are removed for several reasons that look the same to other nodes:
-// network cuts, rejections, unannounced exits, crashes and restarts.
+// Entries are removed because of network partitions, rejections, unannounced
+// exits, crashes and restarts, which look the same to other nodes. A live
+// instance must be vouched for, and one that left must not.
 func TestVouchDecisions(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -79,9 +80,11 @@
 	}
 }
 
-func TestVouchRequiresSeenStart(t *testing.T) {
+// A vouch for a run that the node has not seen listed, or that is leaving, would
+// send requests to the wrong process or to one that refuses them.
+func TestVouchRequiresObservedStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Neither an unseen, another nor a leaving start is vouched for", t, func() {
+		Convey("No vouch without an observed instance, for another ID or run, or while leaving", t, func() {
 			e := newFakeEnv()
 			So(NewChecker(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
 			checker := e.newChecker()
@@ -95,8 +98,8 @@
 	})
 }
 
-// All nodes that use an instance ask for a vouch at the same time and on
-// every renewal. They must share the load on the source and the target.
+// All nodes that use an instance ask for a vouch at the same time and on every
+// renewal. They must not each cause a request to the source and the target.
 func TestConcurrentVouchesShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A hundred nodes cause at most five checks in two seconds", t, func() {
--- a/vouch/model_test.go
+++ b/vouch/model_test.go
@@ -30,40 +30,40 @@
 type model struct {
 	t *rapid.T
 
-	instance       directory.Instance
-	running        bool
-	leaving        bool      // the instance drains
-	leftAt         time.Time // when it began to leave unannounced
-	upSince        time.Time // start time of this start
-	reportAt       time.Time // time of the next report
-	sourceCut      bool      // the VM and the source cannot reach each other
-	rejected       bool      // the source rejects the node but not the instance
-	peerCut        bool      // the peer cannot reach the VM
-	cutsChanged    time.Time // time of the last change of a cut
-	listedAtSource bool
-	lastReport     time.Time // last report received by the source
-	unlistedAt     time.Time // when the entry was last removed
-	rev            directory.Revision
+	instance            directory.Instance
+	running             bool
+	leaving             bool      // the instance drains
+	leftAt              time.Time // when it began to leave unannounced
+	upSince             time.Time // start time of this run
+	reportAt            time.Time // time of the next report
+	sourcePartitioned   bool      // the VM and the source cannot reach each other
+	rejected            bool      // the source rejects the node but not the instance
+	peerPartitioned     bool      // the peer cannot reach the VM
+	partitionsChangedAt time.Time // time of the last change of a partition
+	listedAtSource      bool
+	lastReport          time.Time // last report received by the source
+	unlistedAt          time.Time // when the entry was last removed
+	rev                 directory.Revision
 
 	missedUnlisting bool // the peer could not reach the node since the entry was removed
 	checker         *Checker
 	peer            *directory.Directory
-	lastAsked       time.Time
-	ended           map[directory.InstanceID]time.Time // instances that left, and since when the peer could know
-	checkerSeen     bool                               // the node has read the list since it started
+	lastRequested   time.Time
+	leftSince       map[directory.InstanceID]time.Time // instances that left, and since when the peer could know
+	listRead        bool                               // the node has read the list since it started
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, ended: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.DefaultConfig(&log.Logger{Handler: discard.New()}))}
+	m := &model{t: t, leftSince: map[directory.InstanceID]time.Time{}, peer: directory.New(directory.DefaultConfig(&log.Logger{Handler: discard.New()}))}
 	m.instance = directory.Instance{ID: "i", Started: 1, Service: "s", Addr: "a:1", Slots: 4}
 	m.checker = NewChecker(Config{Listed: m.listed, Probe: m.probe, LastSourceFailure: func() time.Time { return time.Time{} }})
-	m.running, m.upSince, m.cutsChanged = true, time.Now(), time.Now()
+	m.running, m.upSince, m.partitionsChangedAt = true, time.Now(), time.Now()
 	m.run(2 * reportInterval)
 	return m
 }
 
 func (m *model) listed(context.Context, directory.InstanceID) (bool, error) {
-	if m.sourceCut || m.rejected {
+	if m.sourcePartitioned || m.rejected {
 		return false, errNoAnswer
 	}
 	return m.listedAtSource, nil
@@ -87,14 +87,14 @@
 
 func (m *model) step() {
 	now := time.Now()
-	if m.running && !m.leaving && !m.sourceCut && !now.Before(m.reportAt) {
+	if m.running && !m.leaving && !m.sourcePartitioned && !now.Before(m.reportAt) {
 		m.reportAt, m.lastReport = now.Add(reportInterval), now
 		m.list()
 	}
 	if m.listedAtSource && now.Sub(m.lastReport) > entryTTL {
 		m.unlist()
 	}
-	m.ask(now)
+	m.requestVouches(now)
 	m.peer.ExpireUnlisted()
 }
 
@@ -104,9 +104,9 @@
 	in := m.instance
 	in.Revision = m.rev
 	m.peer.Apply([]directory.Change{{Instance: &in}}, m.rev)
-	if !m.sourceCut && !m.rejected {
+	if !m.sourcePartitioned && !m.rejected {
 		m.checker.Observe(in)
-		m.checkerSeen = true
+		m.listRead = true
 	}
 }
 
@@ -116,21 +116,21 @@
 	m.peer.Apply([]directory.Change{{Removed: m.instance.ID, RemovedAt: m.rev}}, m.rev)
 }
 
-// ask performs the peer's requests for vouches, at once when an entry is
-// removed and then every RenewInterval.
-func (m *model) ask(now time.Time) {
-	if m.peerCut || now.Sub(m.lastAsked) < RenewInterval {
+// requestVouches performs the peer's requests for vouches, at once when an entry
+// is removed and then every RenewInterval.
+func (m *model) requestVouches(now time.Time) {
+	if m.peerPartitioned || now.Sub(m.lastRequested) < RenewInterval {
 		return
 	}
 	for _, in := range m.peer.View().All() {
 		if in.Unlisted {
-			m.lastAsked = now
-			m.askWitness(in)
+			m.lastRequested = now
+			m.requestVouch(in)
 		}
 	}
 }
 
-func (m *model) askWitness(in directory.Instance) {
+func (m *model) requestVouch(in directory.Instance) {
 	if m.checker.Vouch(context.Background(), in.Start()) {
 		m.peer.ConfirmUnlisted(in.Start(), time.Now().Add(TTL))
 		return
@@ -143,26 +143,26 @@
 	now := time.Now()
 	if !m.leftAt.IsZero() && !m.listedAtSource {
 		// Nobody can know before the source removes the entry.
-		m.ended[m.instance.ID] = m.leftAt
+		m.leftSince[m.instance.ID] = m.leftAt
 		if m.unlistedAt.After(m.leftAt) {
-			m.ended[m.instance.ID] = m.unlistedAt
+			m.leftSince[m.instance.ID] = m.unlistedAt
 		}
 	}
-	for id, at := range m.ended {
+	for id, at := range m.leftSince {
 		if in, used := m.peer.View().Find(id); used && now.Sub(at) > maxServeAfterLeave {
 			m.t.Fatalf("instance that left %v ago is still used: %+v", now.Sub(at), in)
 		}
 	}
 	in, used := m.peer.View().Find(m.instance.ID)
-	settled := now.Sub(m.cutsChanged) > entryTTL+reportInterval+time.Second
+	settled := now.Sub(m.partitionsChangedAt) > entryTTL+reportInterval+time.Second
 	// An instance whose node was unreachable when its entry was removed is
 	// dropped until it is listed again.
-	m.missedUnlisting = !m.listedAtSource && (m.missedUnlisting || m.peerCut)
-	steady := m.running && !m.missedUnlisting && !m.leaving && m.checkerSeen && now.Sub(m.upSince) > 2*time.Second
-	if steady && settled && !m.peerCut && m.sourceCut && (!used || in.Unconfirmed) {
-		m.t.Fatalf("live instance whose VM is cut off from the source is not used: %+v", in)
+	m.missedUnlisting = !m.listedAtSource && (m.missedUnlisting || m.peerPartitioned)
+	steady := m.running && !m.missedUnlisting && !m.leaving && m.listRead && now.Sub(m.upSince) > 2*time.Second
+	if steady && settled && !m.peerPartitioned && m.sourcePartitioned && (!used || in.Unconfirmed) {
+		m.t.Fatalf("live instance whose VM is partitioned from the source is not used: %+v", in)
 	}
-	if steady && settled && !m.sourceCut && (!used || in.Unlisted) {
+	if steady && settled && !m.sourcePartitioned && (!used || in.Unlisted) {
 		m.t.Fatalf("live instance that reports is not listed: %+v", in)
 	}
 }
@@ -174,7 +174,7 @@
 	}
 	m.leaving, m.running = drain, drain
 	m.leftAt = time.Now()
-	if m.listedAtSource && !m.sourceCut && drain {
+	if m.listedAtSource && !m.sourcePartitioned && drain {
 		m.unlist()
 	}
 }
@@ -188,43 +188,42 @@
 		m.unlist()
 	}
 	if sameID {
-		delete(m.ended, m.instance.ID)
+		delete(m.leftSince, m.instance.ID)
 	} else {
 		m.instance.ID += "'"
 	}
 	m.leftAt = time.Time{}
 	m.instance.Started++
 	m.running, m.leaving, m.upSince, m.reportAt = true, false, time.Now(), time.Now()
-	m.cutsChanged, m.checkerSeen = time.Now(), false
+	m.partitionsChangedAt, m.listRead = time.Now(), false
 }
 
 func (m *model) toggle(b *bool) {
 	*b = !*b
-	m.cutsChanged = time.Now()
+	m.partitionsChangedAt = time.Now()
 }
 
-// bubbleTB hides T.Deadline from rapid, as it must not be called in a
-// synctest bubble.
-type bubbleTB struct{ rapid.TB }
+// synctestTB hides T.Deadline, which must not be called within synctest.
+type synctestTB struct{ rapid.TB }
 
-// Runs random sequences of expired and removed entries, network cuts,
+// Runs random sequences of expired and removed entries, network partitions,
 // rejections, unannounced exits, crashes and restarts. An instance that left
-// must get no requests after two seconds, and a live one that is only cut
-// off from the source must stay in use.
+// must get no requests after two seconds, and a live one that is only
+// partitioned from the source must stay in use.
 func TestVouchesKeepOnlyLiveInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		rapid.Check(bubbleTB{t}, func(t *rapid.T) {
+		rapid.Check(synctestTB{t}, func(t *rapid.T) {
 			m := newModel(t)
 			t.Repeat(map[string]func(*rapid.T){
-				"cut from the source": func(*rapid.T) { m.toggle(&m.sourceCut) },
+				"cut from the source": func(*rapid.T) { m.toggle(&m.sourcePartitioned) },
 				"turned away":         func(*rapid.T) { m.toggle(&m.rejected) },
-				"cut from the node":   func(*rapid.T) { m.toggle(&m.peerCut) },
+				"cut from the node":   func(*rapid.T) { m.toggle(&m.peerPartitioned) },
 				"leave":               func(*rapid.T) { m.leave(true) },
 				"crash":               func(*rapid.T) { m.leave(false) },
 				"start again":         func(t *rapid.T) { m.restart(rapid.Bool().Draw(t, "same id")) },
 				"node restarts": func(*rapid.T) {
 					m.checker = NewChecker(Config{Listed: m.listed, Probe: m.probe, LastSourceFailure: func() time.Time { return time.Time{} }})
-					m.checkerSeen = false
+					m.listRead = false
 				},
 				"": func(t *rapid.T) {
 					m.run(time.Duration(rapid.IntRange(1, 160).Draw(t, "ticks")) * tick)
