--- a/directory/codec.go
+++ b/directory/codec.go
@@ -58,8 +58,8 @@
 		for _, rts := range x.Routes.hosts {
 			e.Routes = append(e.Routes, rts...)
 		}
-		if b := x.Routes.Accounts; b != nil {
-			e.Accounted, e.Accounts = true, b.All()
+		if reg := x.Routes.Accounts; reg != nil {
+			e.Accounted, e.Accounts = true, reg.All()
 		}
 	}
 	b, err := msgpack.Marshal(e)
--- a/directory/delta.go
+++ b/directory/delta.go
@@ -6,7 +6,7 @@
 )
 
 // maxRemovals is how many removals are kept for deltas to other nodes. A node
-// that lacks more gets the whole state.
+// that is further behind gets the whole state.
 const maxRemovals = 1024
 
 type (
@@ -95,7 +95,7 @@
 	defer t.Stop()
 	for {
 		d.mu.Lock()
-		if d.listed && d.revision > after {
+		if d.hasSnapshot && d.revision > after {
 			defer d.mu.Unlock()
 			return d.sinceLocked(after)
 		}
@@ -130,7 +130,7 @@
 		d.applyLocked(x.changes(), x.Revision)
 	}
 	select {
-	case d.learned <- struct{}{}:
+	case d.deltaApplied <- struct{}{}:
 	default:
 	}
 	return true
@@ -142,8 +142,8 @@
 	if x.Routes != nil {
 		cs = append(cs, Change{Routes: x.Routes})
 	}
-	for _, g := range x.Removed {
-		cs = append(cs, Change{Removed: g.ID, RemovedAt: g.At})
+	for _, removal := range x.Removed {
+		cs = append(cs, Change{Removed: removal.ID, RemovedAt: removal.At})
 	}
 	for i := range x.Instances {
 		cs = append(cs, Change{Instance: &x.Instances[i]})
--- a/directory/delta_test.go
+++ b/directory/delta_test.go
@@ -58,7 +58,7 @@
 // The source is unreachable for all readers and then returns without entries
 // that expired. A node that learns from the readers must keep them as
 // unconfirmed.
-func TestFollowerDetectsSourceOutage(t *testing.T) {
+func TestNodeFedByPeersDetectsSourceOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(DefaultConfig(discardLog))
 		learn := func(age time.Duration, s Snapshot) { d.ApplyDelta(Delta{Snapshot: s, Age: age}) }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -16,9 +16,9 @@
 	// outageGrace is how long such entries are kept once the source is back.
 	// Live instances are listed again within about two seconds.
 	outageGrace = 2500 * time.Millisecond
-	// unlistedGrace is how long an entry is kept as unconfirmed that was
-	// removed while the instance was not leaving. Meanwhile the node of the
-	// instance is asked to confirm it.
+	// unlistedGrace is how long an instance that was not leaving is kept as
+	// unconfirmed after its entry was removed. Meanwhile its node is asked to
+	// confirm it.
 	unlistedGrace = 600 * time.Millisecond
 )
 
@@ -51,8 +51,8 @@
 		// while the node of the instance is asked to confirm it; 0 drops it at
 		// once.
 		UnlistedGrace time.Duration
-		// OutageGrace is how long an entry is kept as unconfirmed that is
-		// missing after an outage of the source; 0 drops it at once.
+		// OutageGrace is how long an entry that is missing after an outage of
+		// the source is kept as unconfirmed; 0 drops it at once.
 		OutageGrace time.Duration
 		// SpreadWatches draws the duration of the first watch after a change at
 		// random, so that the watches of all nodes do not end together.
@@ -74,11 +74,11 @@
 		removals       removals
 		source         sourceStatus
 		graceEnds      time.Time     // end of the grace period after an outage
-		listed         bool          // a snapshot has been applied
+		hasSnapshot    bool          // a snapshot has been applied
 		revision       Revision      // everything up to it is known
 		routesRevision Revision      // revision at which the routes were known
 		invalidEntries int           // total since the start
-		learned        chan struct{} // capacity 1; signals that ApplyDelta advanced revision during a watch
+		deltaApplied   chan struct{} // capacity 1; signals that ApplyDelta advanced revision during a watch
 		advanced       chan struct{} // closed and replaced when revision advances
 		onChange       []func(*View)
 	}
@@ -92,7 +92,7 @@
 // New returns an empty Directory.
 func New(cfg Config) *Directory {
 	d := &Directory{cfg: cfg, log: cfg.Log, instances: map[InstanceID]Instance{}, unlisted: map[InstanceID]unlisted{}, removals: newRemovals(),
-		learned: make(chan struct{}, 1), advanced: make(chan struct{})}
+		deltaApplied: make(chan struct{}, 1), advanced: make(chan struct{})}
 	d.view.Store(newView(nil, nil))
 	return d
 }
@@ -105,7 +105,7 @@
 func (d *Directory) HasSnapshot() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listed
+	return d.hasSnapshot
 }
 
 // OnChange registers f to be called with every new view. Calls do not overlap.
@@ -148,7 +148,7 @@
 	// Removals up to this revision may be unknown here, so nodes that are
 	// behind it get the whole state.
 	d.removals.completeAfter = max(d.removals.completeAfter, s.Revision)
-	d.listed = true
+	d.hasSnapshot = true
 	d.advance(s.Revision)
 	d.publish()
 }
@@ -200,8 +200,8 @@
 	d.publish()
 }
 
-// setRoutes puts routes in force if they are newer than the current ones. A
-// node that was paused or reads a stale copy must not fall back.
+// setRoutes activates routes that are newer than the current ones. A node that
+// was paused or reads a stale copy must not return to an older version.
 func (d *Directory) setRoutes(r *Routes, at Revision) {
 	if r == nil || (d.routes != nil && r.Version <= d.routes.Version) {
 		return
@@ -231,8 +231,8 @@
 }
 
 // remove handles the removal of an entry. A leaving instance is dropped. Any
-// other may only have lost the source: it is kept as unconfirmed until its node
-// denies it or the grace period ends.
+// other may merely have lost its connection to the source: it is kept as
+// unconfirmed until its node denies it or the grace period ends.
 func (d *Directory) remove(id InstanceID, at Revision) {
 	d.removals.add(id, at)
 	in, ok := d.instances[id]
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -183,9 +183,9 @@
 	})
 }
 
-// The source does not notify a watch of a change and then discards the change.
-// The next call must lead to a load, soon enough for the new version to be in
-// force.
+// The source does not notify a watch of a change and then discards the change
+// from its history. The next watch must lead to a load, which activates the new
+// version.
 func TestLostHistoryTriggersReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -210,7 +210,7 @@
 		}
 		src.mu.Unlock()
 		time.Sleep(6 * time.Second)
-		Convey("The new version is in force after the next call", t, func() {
+		Convey("The new version is active after the next call", t, func() {
 			So(started, ShouldEqual, 1)
 			So(d.View().Routes.Version, ShouldEqual, 2)
 		})
@@ -221,7 +221,7 @@
 
 // A watch hangs while a peer sends a newer state. The watch must be restarted
 // from the newer revision.
-func TestLearnedDeltaRestartsWatch(t *testing.T) {
+func TestPeerDeltaRestartsHungWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		src := &fakeSource{snap: Snapshot{Revision: 1, Routes: testRoutes(t, 1)}}
--- a/directory/entries_test.go
+++ b/directory/entries_test.go
@@ -59,12 +59,12 @@
 func TestDirectoryMatchesLatestWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(DefaultConfig(discardLog))
-		type fact struct {
+		type entryState struct {
 			started UnixMilli
 			rev     Revision
 			gone    bool
 		}
-		want := map[InstanceID]fact{}
+		want := map[InstanceID]entryState{}
 		removed := map[InstanceID]Revision{}
 		id := rapid.SampledFrom([]InstanceID{"a", "b", "c"})
 		rev := Revision(0)
@@ -84,12 +84,12 @@
 				d.Apply([]Change{{Instance: &in}}, rev)
 				stale := in.Revision <= removed[in.ID] || (!known && in.Revision <= rev)
 				if !stale && (!known || in.Started > old.started || (in.Started == old.started && in.Revision >= old.rev)) {
-					want[in.ID] = fact{in.Started, in.Revision, false}
+					want[in.ID] = entryState{in.Started, in.Revision, false}
 				}
 			}
-			got := map[InstanceID]fact{}
+			got := map[InstanceID]entryState{}
 			for id, in := range d.View().All() {
-				got[id] = fact{in.Started, in.Revision, in.Unlisted}
+				got[id] = entryState{in.Started, in.Revision, in.Unlisted}
 			}
 			if len(got) != len(want) {
 				t.Fatalf("have %v, want %v", got, want)
--- a/directory/instances.go
+++ b/directory/instances.go
@@ -31,14 +31,14 @@
 		Started       UnixMilli
 		Service       string
 		DC            callgraph.DC
-		Addr          string // host:port, reachable only from its own VM
-		Slots         int    // concurrent requests it serves
-		Leaving       bool   // takes no new requests
-		Unlisted      bool   // its entry was removed although it was not leaving
-		Unconfirmed   bool   // unlisted and not confirmed by its node: last resort only
-		ColdUntil     time.Time
-		FirstRevision Revision // revision at which it was first listed
-		Revision      Revision // revision at which its entry last changed
+		Addr          string    // host:port, reachable only from its own VM
+		Slots         int       // concurrent requests it serves
+		Leaving       bool      // takes no new requests
+		Unlisted      bool      // its entry was removed although it was not leaving
+		Unconfirmed   bool      // unlisted and not confirmed by its node: last resort only
+		ColdUntil     time.Time // end of the warm-up after a start; zero if it is warm
+		FirstRevision Revision  // revision at which it was first listed
+		Revision      Revision  // revision at which its entry last changed
 	}
 
 	// serviceGroup holds the instances of one service.
--- a/directory/reader.go
+++ b/directory/reader.go
@@ -18,8 +18,8 @@
 	// firstWatchSpacing is the same for the first watch after a change. The gap
 	// between two nodes' watches has to stay below 1.5 s with high probability.
 	firstWatchSpacing = 150 * time.Millisecond
-	// minWatch and maxWatch bound the duration of one watch. Calls are charged,
-	// and a source keeps its history for 20 s.
+	// minWatch and maxWatch bound the duration of one watch: each call costs
+	// money, and a source keeps its history for 20 s.
 	minWatch = time.Second
 	// minFirstWatch is the minimum duration of a first watch. Changes that come
 	// sooner are already covered by the batch delay.
@@ -28,14 +28,14 @@
 	// minBatchDelay and maxBatchDelay bound the pause after a change, in which
 	// further changes accumulate to be read in one call. The pause is random so
 	// that the nodes do not call together, and short enough for a change to be
-	// in force within 2 s.
+	// active within 2 s.
 	minBatchDelay = 300 * time.Millisecond
 	maxBatchDelay = 700 * time.Millisecond
-	// watchLag is how much later than other nodes a watch of this one may
-	// return the same change.
+	// watchLag is how long a watch may take to return a change that is already
+	// known from a peer, before it is cancelled.
 	watchLag = 300 * time.Millisecond
 	// readTimeout bounds a load, and how long a watch may take beyond its wait.
-	// It exceeds the response time of a slow source (some hundred
+	// It exceeds the response time of a slow source (a few hundred
 	// milliseconds).
 	readTimeout = 2 * time.Second
 	// expiryInterval is how often unlisted instances are checked for the end of
@@ -174,7 +174,8 @@
 }
 
 // nextWatchWait returns the duration of a watch that follows one without a
-// change. The jitter of a quarter either way keeps the nodes out of step.
+// change. The jitter of a quarter either way keeps the nodes from calling
+// together.
 func (r *Reader) nextWatchWait() time.Duration {
 	wait := r.watchInterval(watchSpacing)
 	return wait*3/4 + rand.N(wait/2)
@@ -184,7 +185,7 @@
 // ApplyDelta, which concerns earlier watches.
 func (d *Directory) resumeRevision() Revision {
 	select {
-	case <-d.learned:
+	case <-d.deltaApplied:
 	default:
 	}
 	return d.Revision()
@@ -198,7 +199,7 @@
 	interrupted := make(chan bool, 1)
 	go func() {
 		select {
-		case <-d.learned:
+		case <-d.deltaApplied:
 			select {
 			case <-time.After(watchLag):
 				cancel()
--- a/directory/reader_test.go
+++ b/directory/reader_test.go
@@ -75,7 +75,7 @@
 			src.withheldAt = time.Now()
 			src.mu.Unlock()
 			// The other nodes need half a second to learn it, and a version
-			// must be in force within two.
+			// must be active within two seconds.
 			time.Sleep(1500 * time.Millisecond)
 			Convey(fmt.Sprint("At least one of ", nodes, " nodes has it in time"), t, func() {
 				found := 0
@@ -141,7 +141,7 @@
 
 // Guards against a call per change when changes follow each other within the
 // batch delay.
-func TestCloseChangesShareWatch(t *testing.T) {
+func TestChangesInQuickSuccessionShareWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		src := &changingSource{}
--- a/directory/routes.go
+++ b/directory/routes.go
@@ -98,8 +98,8 @@
 // Rank returns the rank of the requests of an account on a route, and the
 // number of ranks. Rank 0 is refused last; the priority of the account counts
 // before that of the route. If callers need no account, rank is the priority of
-// the route and of is 0.
-func (r *Routes) Rank(a *account.Account, rt *Route) (rank, of int) {
+// the route and numRanks is 0.
+func (r *Routes) Rank(a *account.Account, rt *Route) (rank, numRanks int) {
 	if r.Accounts == nil {
 		return rt.Priority, 0
 	}
--- a/directory/sourcestatus.go
+++ b/directory/sourcestatus.go
@@ -5,15 +5,15 @@
 )
 
 const (
-	// maxPeerAge is the age of what a node learnt from its peers beyond which
-	// it considers the source unreachable: two and a half polls of a second
-	// each.
+	// maxPeerAge is the maximum age of the state learnt from peers; beyond it a
+	// node considers the source unreachable. It is two and a half poll
+	// intervals of 1 s.
 	maxPeerAge = 2500 * time.Millisecond
 	// maxPollGap is the longest normal interval between two polls of a peer. A
 	// gap of that length alone is not an outage.
 	maxPollGap = time.Second
-	// sourceLostAge is the age of a peer's state from which on the source
-	// counts as not answering that peer: one and a half polls.
+	// sourceLostAge is the minimum age of a peer's state at which the source
+	// counts as unreachable for that peer: one and a half poll intervals.
 	sourceLostAge = 1500 * time.Millisecond
 	// unknownAge is the age reported by a node that knows nothing.
 	unknownAge = time.Hour
@@ -101,7 +101,7 @@
 
 // recordPeerAge records that the state held here matched the source age ago, as
 // reported by a peer. A gap since the previous report means that the peer had
-// lost the source too, so entries that are missing now may only have expired.
+// lost the source too, so entries that are missing now may merely have expired.
 func (d *Directory) recordPeerAge(age time.Duration) {
 	s, now := &d.source, time.Now()
 	if s.reading {
--- a/directory/unlisted.go
+++ b/directory/unlisted.go
@@ -13,8 +13,8 @@
 	confirmed bool // its node confirmed that it is alive
 }
 
-// ConfirmUnlisted records that the node of an unlisted instance confirmed it
-// until a time. Until then it is used like a listed one. It is safe for
+// ConfirmUnlisted records that the node of an unlisted instance confirmed that
+// it is alive. It is used like a listed one until the given time. It is safe for
 // concurrent use.
 func (d *Directory) ConfirmUnlisted(at Start, until time.Time) {
 	d.mu.Lock()
