--- a/node/config.go
+++ b/node/config.go
@@ -20,8 +20,8 @@
 	// failed or refused it.
 	watchBackoff = time.Second
 	// rewatchJitter bounds the random delay before the next watch after a
-	// change. A change completes the watch of every node at once; without
-	// jitter, 1,100 simultaneous watches would exceed the platform's limit of
+	// change. A change completes the watch of every node at once; the delay
+	// keeps the next watches of 1,100 nodes below the platform's limit of
 	// 2,000 reads/s.
 	rewatchJitter = 2 * time.Second
 )
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -17,8 +17,8 @@
 	// serves stale data to some readers.
 	gossipInterval = 5 * time.Second
 	// gossipIntervalPlatformDown replaces gossipInterval while the platform
-	// is unreachable. It costs about 1.6 KB/s of the 3 KB/s per node for
-	// control traffic.
+	// is unreachable. It uses about 1.6 KB/s of the 3 KB/s allowed per node
+	// for control traffic.
 	gossipIntervalPlatformDown = time.Second
 	// gossipFanout is the number of random nodes contacted after a new
 	// configuration was applied. Periodic exchanges reach the nodes that this
--- a/node/node.go
+++ b/node/node.go
@@ -54,7 +54,7 @@
 		Settings settings.Node
 		Graph    *callgraph.Graph // initial configuration; nil to wait for the platform
 		Log      log.Interface
-		Client   *http.Client // for the local target and the platform; nil for a default
+		Client   *http.Client // for the local target, the platform and the HTTP API of peers; nil for a default
 		// ClockSkew is the maximum clock difference between callers and nodes;
 		// 0 when all run on one machine.
 		ClockSkew time.Duration
@@ -206,9 +206,9 @@
 	}
 }
 
-// Ready reports whether the node can serve every call: it has a
-// configuration, has read the VM list, which calls with an idempotency key
-// require, has waited out the clock skew and is not leaving.
+// Ready reports whether the node can serve every call: it has a configuration,
+// has read the VM list (required for calls with an idempotency key), has waited
+// out the clock skew and is not leaving.
 func (n *Node) Ready() bool {
 	return n.graph.Load() != nil && n.ownership.VMListRead() && !n.leaving.Load() && !time.Now().Before(n.ownership.Started())
 }
--- a/node/outbound.go
+++ b/node/outbound.go
@@ -46,9 +46,9 @@
 	return context.WithoutCancel(ctx)
 }
 
-// sendToAny sends an idempotent call to instances of its service in turn.
-// Moving to another instance because one was leaving or unreachable ran
-// nothing and spends no retry; it is bounded by the number of instances.
+// sendToAny sends an idempotent call to instances of its service in turn. An
+// attempt at a leaving or unreachable instance runs nothing and spends no
+// retry; the number of such attempts is bounded by that of the instances.
 func (n *Node) sendToAny(ctx context.Context, s *outboundCall) call.Answer {
 	tried := map[string]bool{}
 	a := call.Refuse(s.r, ErrNoInstance.Error(), time.Second)
--- a/node/owner_routing.go
+++ b/node/owner_routing.go
@@ -18,8 +18,8 @@
 // unreachableRetryAfter is the retry-after when a key's owner is unreachable.
 const unreachableRetryAfter = time.Second
 
-// sendToOwner sends a non-idempotent call to the first instance in its key's
-// rank that does not decline it. An unreachable owner is not skipped, because
+// sendToOwner sends a non-idempotent call to the highest-ranked instance for its
+// key that does not decline it. An unreachable owner is not skipped, because
 // it may be running the key behind a network partition: the call is refused
 // until the owner is reachable, has declined the key or has been listed as
 // leaving for long enough.
@@ -53,7 +53,7 @@
 	return call.Refuse(s.r, "deadline passed", 0)
 }
 
-// nextOwner returns the first instance in the key's rank, under the active
+// nextOwner returns the highest-ranked instance for the key, under the active
 // configuration, that has neither declined the key nor drained.
 func (n *Node) nextOwner(s *outboundCall) (callgraph.Instance, bool) {
 	g := n.graph.Load()
