--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -30,7 +30,7 @@
 	// that no request is sent while the target closes the connection.
 	idleMargin = 500 * time.Millisecond
 	// resetGrace is how long an exiting process may accept connections after it
-	// has broken others; it breaks those too.
+	// has reset others; it resets those too.
 	resetGrace = 5 * time.Millisecond
 	// maxMismatched is how many answers to other requests are skipped on a
 	// connection before it is closed.
@@ -87,8 +87,8 @@
 		Body   []byte
 	}
 
-	// Pool holds the open connections to one target. It is safe for
-	// concurrent use.
+	// Pool sends requests to one target and keeps idle connections for reuse.
+	// It is safe for concurrent use.
 	Pool struct {
 		cfg Config
 
@@ -100,7 +100,7 @@
 		nc      net.Conn
 		r       *bufio.Reader
 		w       *bufio.Writer
-		expires time.Time // when it must no longer be used
+		expires time.Time // time after which it must not be used
 	}
 )
 
--- a/targetconn/pool_test.go
+++ b/targetconn/pool_test.go
@@ -352,7 +352,7 @@
 
 // A target that closes one connection and keeps running must not be reported as
 // ended; one whose process has exited must be.
-func TestEndedDistinguishesExitFromConnectionReset(t *testing.T) {
+func TestTargetEndedDistinguishesExitFromReset(t *testing.T) {
 	Convey("A target that accepts a new connection has not ended, and the connection is reused", t, func() {
 		p, conns := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 			if n > 1 {
--- a/wire/conn.go
+++ b/wire/conn.go
@@ -146,8 +146,8 @@
 	}
 	c.err = err
 	c.nc.Close()
-	for s, w := range c.pending {
-		close(w.ch)
+	for s, p := range c.pending {
+		close(p.ch)
 		delete(c.pending, s)
 	}
 	close(c.done)
@@ -177,13 +177,13 @@
 
 func (c *Conn) deliver(s Stream, a call.Answer) {
 	c.mu.Lock()
-	w, ok := c.pending[s]
-	if ok && w.id == a.ID {
+	p, ok := c.pending[s]
+	if ok && p.id == a.ID {
 		delete(c.pending, s)
 	}
 	c.mu.Unlock()
-	if ok && w.id == a.ID {
-		w.ch <- a
+	if ok && p.id == a.ID {
+		p.ch <- a
 	}
 }
 
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -22,7 +22,7 @@
 		Stream        Stream        `msgpack:"stream"`
 		Request       *call.Request `msgpack:"request,omitempty"`
 		Answer        *call.Answer  `msgpack:"answer,omitempty"`
-		ConfigVersion uint64        `msgpack:"config"`         // configuration version in effect at the sender
+		ConfigVersion uint64        `msgpack:"config"`         // active configuration version of the sender
 		From          string        `msgpack:"from,omitempty"` // instance name of the sender of a request
 	}
 )
--- a/wire/keepalive.go
+++ b/wire/keepalive.go
@@ -13,8 +13,9 @@
 	CheckInterval = 100 * time.Millisecond
 	// SuspicionTimeout is the maximum time until a silent connection with
 	// pending calls is suspected and new requests go to other instances. It
-	// exceeds two consecutive packet losses on a short link (600 ms) and leaves
-	// a caller with a timeout of 1 to 2 s enough time for another instance.
+	// exceeds the delay of two consecutive packet losses on a short link
+	// (600 ms) and leaves a caller with a timeout of 1 to 2 s enough time for
+	// another instance.
 	SuspicionTimeout = (pendingPingChecks + suspectChecks + 1) * CheckInterval
 	// KeepaliveTimeout is the maximum time until a silent connection with
 	// pending calls is closed. It includes the check interval in which the call
@@ -32,7 +33,7 @@
 
 // probeState is the keepalive state of a connection, counted in checks.
 type probeState struct {
-	sinceFrame int
+	sinceFrame int  // checks since the last frame
 	sincePing  int  // checks since a ping was sent; 0 if none is out
 	ponged     bool // the last frame came after a ping
 }
@@ -75,9 +76,9 @@
 	if c.suspected.Swap(on) == on || !on {
 		return
 	}
-	for s, w := range c.pending {
-		if w.endOnSuspicion {
-			close(w.ch)
+	for s, p := range c.pending {
+		if p.endOnSuspicion {
+			close(p.ch)
 			delete(c.pending, s)
 		}
 	}
--- a/wire/keepalive_test.go
+++ b/wire/keepalive_test.go
@@ -90,9 +90,9 @@
 			}
 		}()
 		read, write := make(chan call.Answer, 1), make(chan call.Answer, 1)
-		send := func(id call.RequestID, yields bool, ch chan call.Answer) Frame {
+		send := func(id call.RequestID, endOnSuspicion bool, ch chan call.Answer) Frame {
 			go func() {
-				a, _ := c.Call(context.Background(), call.Request{ID: id, EndOnSuspicion: yields}, 1)
+				a, _ := c.Call(context.Background(), call.Request{ID: id, EndOnSuspicion: endOnSuspicion}, 1)
 				ch <- a
 			}()
 			return <-frames
@@ -190,7 +190,7 @@
 // A process that resumes after a pause must not close the connections whose
 // pongs arrived during the pause.
 func TestProcessPauseIsNotSilence(t *testing.T) {
-	Convey("Silence counts checks, not time", t, func() {
+	Convey("Silence is measured in checks, not in time", t, func() {
 		var s probeState
 		for range pendingPingChecks {
 			s.tick(false, true) // the last one sends a ping
--- a/wire/server.go
+++ b/wire/server.go
@@ -21,7 +21,7 @@
 	// fields must not change once Serve is called.
 	Server struct {
 		Handler Handler
-		Version func() uint64 // configuration version in effect, sent with every answer; may be nil
+		Version func() uint64 // active configuration version, sent with every answer; may be nil
 		// OnVersion, if not nil, is called with the sender and configuration
 		// version of each request.
 		OnVersion func(from string, v uint64)
