--- a/message/decode_test.go
+++ b/message/decode_test.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// A truncated message that announces a list of two billion elements must give an
+// A truncated message that declares a list of two billion elements must give an
 // error and must not exhaust memory.
 func TestListLengthBeyondMessageIsError(t *testing.T) {
 	Convey("A list longer than its message is an error, others are decoded", t, func() {
--- a/targetconn/pool_test.go
+++ b/targetconn/pool_test.go
@@ -316,8 +316,10 @@
 	})
 }
 
-func TestKeepAliveTimeout(t *testing.T) {
-	Convey("The stated timeout is used, less idleMargin", t, func() {
+// Guards against a request being sent on an idle connection that the target is
+// about to close.
+func TestIdleTimeoutStaysBelowKeepAliveTimeout(t *testing.T) {
+	Convey("The timeout in the Keep-Alive header is used, less idleMargin", t, func() {
 		So(idleTimeout(http.Header{"Keep-Alive": {"max=3, timeout=10"}}), ShouldEqual, 10*time.Second-idleMargin)
 		So(idleTimeout(http.Header{"Keep-Alive": {"timeout=0"}}), ShouldEqual, 0)
 		So(idleTimeout(http.Header{}), ShouldEqual, defaultIdleTimeout)
