--- a/admit/cost.go
+++ b/admit/cost.go
@@ -25,7 +25,7 @@
 // from only the lower levels of the rank. It is safe for concurrent use.
 type RouteCosts struct {
 	mu     sync.Mutex
-	routes map[string]*cost
+	routes map[string]*routeCost
 }
 
 // LevelAssigner assigns levels to new requests.
@@ -44,36 +44,38 @@
 type UniformLevels struct{}
 
 // Level implements LevelAssigner.
-func (UniformLevels) Level(k RequestInfo, id call.RequestID) call.Level { return LevelOf(k.Rank, id) }
+func (UniformLevels) Level(info RequestInfo, id call.RequestID) call.Level {
+	return LevelOf(info.Rank, id)
+}
 
-type cost struct {
+type routeCost struct {
 	rank     int
 	slotTime time.Duration // mean per request, including its calls
 }
 
 // NewRouteCosts returns a RouteCosts without any known route.
-func NewRouteCosts() *RouteCosts { return &RouteCosts{routes: map[string]*cost{}} }
+func NewRouteCosts() *RouteCosts { return &RouteCosts{routes: map[string]*routeCost{}} }
 
 // Record records the slot time that a request on a route, including its calls,
 // took at overloaded targets.
 func (c *RouteCosts) Record(route string, priority int, d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.routes[route]
-	if k == nil {
-		k = &cost{slotTime: d}
-		c.routes[route] = k
+	rc := c.routes[route]
+	if rc == nil {
+		rc = &routeCost{slotTime: d}
+		c.routes[route] = rc
 	}
-	k.rank = rank(priority)
-	k.slotTime += time.Duration(float64(d-k.slotTime) * costSmoothing)
+	rc.rank = rank(priority)
+	rc.slotTime += time.Duration(float64(d-rc.slotTime) * costSmoothing)
 }
 
 // Mean returns the mean slot time of a route's requests, or 0 if unknown.
 func (c *RouteCosts) Mean(route string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k := c.routes[route]; k != nil {
-		return k.slotTime
+	if rc := c.routes[route]; rc != nil {
+		return rc.slotTime
 	}
 	return 0
 }
@@ -81,8 +83,8 @@
 // Level returns the level of a new request. All calls of the request inherit
 // it, so that a request is refused at its entry rather than after some of
 // its calls have run.
-func (c *RouteCosts) Level(k RequestInfo, id call.RequestID) call.Level {
-	return levelOf(k.Rank, id, c.weight(k.Route, rank(k.Priority)))
+func (c *RouteCosts) Level(info RequestInfo, id call.RequestID) call.Level {
+	return levelOf(info.Rank, id, c.weight(info.Route, rank(info.Priority)))
 }
 
 // weight returns the fraction of the rank's levels to use for a route: its
@@ -90,11 +92,11 @@
 func (c *RouteCosts) weight(route string, rank int) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.routes[route]
-	if k == nil {
+	rc := c.routes[route]
+	if rc == nil {
 		return 1
 	}
-	highest := k.slotTime
+	highest := rc.slotTime
 	for _, other := range c.routes {
 		if other.rank == rank {
 			highest = max(highest, other.slotTime)
@@ -103,5 +105,5 @@
 	if highest == 0 {
 		return 1
 	}
-	return max(float64(k.slotTime)/float64(highest), minWeight)
+	return max(float64(rc.slotTime)/float64(highest), minWeight)
 }
--- a/admit/cost_test.go
+++ b/admit/cost_test.go
@@ -21,8 +21,8 @@
 	return float64(n) / 2000
 }
 
-// Guards against refusing the same fraction of every route: a read with
-// eight calls must not take the capacity that would complete several cheaper
+// Guards against refusing the same fraction of every route: an expensive
+// view must not take the capacity that would complete several cheaper
 // releases.
 func TestRoutesAreAdmittedInInverseProportionToCost(t *testing.T) {
 	Convey("Without known costs, all routes are refused alike", t, func() {
--- a/admit/level.go
+++ b/admit/level.go
@@ -7,9 +7,10 @@
 
 const (
 	// LevelsPerRank is the number of levels in each rank. Raising or
-	// lowering a threshold by one level changes the load of a rank by 1/16.
+	// lowering a threshold by one level changes the admitted load of a rank
+	// by 1/16.
 	LevelsPerRank = 16
-	// maxRank is the last rank, which is refused first.
+	// maxRank is the lowest rank, which is refused first.
 	maxRank   = 7
 	numLevels = (maxRank + 1) * LevelsPerRank
 
@@ -38,7 +39,8 @@
 	return call.Level(rank(priority)*LevelsPerRank) + call.Level(u*weight*LevelsPerRank)
 }
 
-// rank returns the rank of a priority; rank 0 is served first.
+// rank returns the rank of a priority, which is the priority limited to the
+// range [0, maxRank].
 func rank(priority int) int { return max(0, min(priority, maxRank)) }
 
 // RankOf returns the rank of a level; rank 0 is served first.
--- a/admit/meter.go
+++ b/admit/meter.go
@@ -9,15 +9,15 @@
 
 const (
 	// interval is how often the threshold is recomputed: long enough to see
-	// a meaningful number of arrivals, short against the time in which
+	// a meaningful number of arrivals, short compared with the time in which
 	// queues fill in a surge.
 	interval = 200 * time.Millisecond
 	// demandSmoothing is the weight of the newest interval in the mean
 	// demand. A surge shows within three intervals.
 	demandSmoothing = 0.35
-	// targetUtilization is the fraction of a target's slots that admitted
-	// work may use.
-	targetUtilization = 0.98
+	// maxUtilization is the fraction of a target's slots that admitted work
+	// may use.
+	maxUtilization = 0.98
 	// allowedQueueDelay is the queueing time per slot that is tolerated
 	// before the threshold is lowered to drain the queue.
 	allowedQueueDelay = 30 * time.Millisecond
@@ -41,7 +41,7 @@
 	demand        [numLevels]float64 // in the current interval, in slot seconds
 	meanDemand    [numLevels]float64 // in slot seconds per second
 	intervalStart time.Time
-	level         call.Level
+	threshold     call.Level
 	raiseStep     int
 	queued        time.Duration // queued work, in slot time
 }
@@ -49,7 +49,7 @@
 // NewDemandMeter returns a DemandMeter for a target with the given number of
 // slots. It admits everything until demand exceeds them.
 func NewDemandMeter(slots int) *DemandMeter {
-	return &DemandMeter{slots: float64(slots), level: MaxLevel, raiseStep: 1}
+	return &DemandMeter{slots: float64(slots), threshold: MaxLevel, raiseStep: 1}
 }
 
 // SetSlots changes the number of requests that the target processes
@@ -75,11 +75,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(time.Now())
-	return m.level
+	return m.threshold
 }
 
-// advance closes the current interval if it has ended. Intervals without a
-// call count as empty, up to maxRaiseStep of them.
+// advance closes the current interval if it has ended. Further intervals
+// that passed since the last call of advance count as empty; at most
+// maxRaiseStep intervals are processed.
 func (m *DemandMeter) advance(now time.Time) {
 	if m.intervalStart.IsZero() {
 		m.intervalStart = now
@@ -98,17 +99,19 @@
 	}
 }
 
+// adjust lowers the threshold to where the mean demand fits the capacity, or
+// raises it by raiseStep if all admitted levels fit.
 func (m *DemandMeter) adjust() {
 	excess := max(0, m.queued.Seconds()-m.slots*allowedQueueDelay.Seconds())
-	capacity := m.slots*targetUtilization - excess/drainTime.Seconds()
+	capacity := m.slots*maxUtilization - excess/drainTime.Seconds()
 	var sum float64
-	for l := call.Level(0); l <= m.level; l++ {
+	for l := call.Level(0); l <= m.threshold; l++ {
 		sum += m.meanDemand[l]
 		if sum > capacity {
-			m.level, m.raiseStep = max(l, 1)-1, 1
+			m.threshold, m.raiseStep = max(l, 1)-1, 1
 			return
 		}
 	}
-	m.level = min(m.level+call.Level(m.raiseStep), MaxLevel)
+	m.threshold = min(m.threshold+call.Level(m.raiseStep), MaxLevel)
 	m.raiseStep = min(2*m.raiseStep, maxRaiseStep)
 }
--- a/admit/meter_test.go
+++ b/admit/meter_test.go
@@ -11,9 +11,9 @@
 )
 
 // offerLoad sends rates[p] requests per second of each priority p for the
-// duration d, each of which takes work at the target, and returns the
-// fraction of each priority that was admitted. Refused requests do not
-// arrive.
+// duration d, each of which takes the slot time work at the target, and
+// returns the fraction of each priority that was admitted. Refused requests
+// do not reach the target.
 func offerLoad(m *DemandMeter, rates map[int]int, work, d time.Duration) map[int]float64 {
 	admitted := map[int]float64{}
 	sent := map[int]float64{}
@@ -82,6 +82,8 @@
 	})
 }
 
+// Guards against thresholds that only match the arrivals and leave a
+// standing queue in place.
 func TestQueuedWorkLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewDemandMeter(10)
@@ -102,16 +104,16 @@
 // there is capacity again. The threshold must rise by itself.
 func TestUnconfirmedThresholdExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewThresholdTable()
-		b.ObserveLevel(127)
+		table := NewThresholdTable()
+		table.ObserveLevel(127)
 		Convey("It rises from the last reported value", t, func() {
-			So(b.Threshold("read"), ShouldEqual, MaxLevel)
-			b.RecordThreshold("read", 20, "entwurf")
-			So(b.Threshold("read"), ShouldEqual, 20)
+			So(table.Threshold("read"), ShouldEqual, MaxLevel)
+			table.RecordThreshold("read", 20, "entwurf")
+			So(table.Threshold("read"), ShouldEqual, 20)
 			time.Sleep(1300 * time.Millisecond)
-			So(b.Threshold("read"), ShouldEqual, 32)
+			So(table.Threshold("read"), ShouldEqual, 32)
 			time.Sleep(time.Minute)
-			So(b.Threshold("read"), ShouldEqual, MaxLevel)
+			So(table.Threshold("read"), ShouldEqual, MaxLevel)
 		})
 	})
 }
@@ -121,23 +123,23 @@
 // and against refusals that accumulate by rounding at each hop.
 func TestSlowInstanceBarelyLowersThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewThresholdTable()
-		b.ObserveLevel(47)
+		table := NewThresholdTable()
+		table.ObserveLevel(47)
 		Convey("Responses are weighted by time, and levels are rounded to the nearest", t, func() {
 			for i := range 250 {
-				b.RecordThreshold("fetch", MaxLevel, "")
+				table.RecordThreshold("fetch", MaxLevel, "")
 				if i%25 == 24 {
-					b.RecordThreshold("fetch", 30, "entwurf")
-					So(b.Threshold("fetch"), ShouldBeGreaterThanOrEqualTo, 45)
+					table.RecordThreshold("fetch", 30, "entwurf")
+					So(table.Threshold("fetch"), ShouldBeGreaterThanOrEqualTo, 45)
 				}
 			}
 			for range 60 {
-				b.RecordThreshold("fetch", MaxLevel, "")
+				table.RecordThreshold("fetch", MaxLevel, "")
 			}
-			So(b.Threshold("fetch"), ShouldEqual, MaxLevel)
+			So(table.Threshold("fetch"), ShouldEqual, MaxLevel)
 			time.Sleep(time.Minute)
-			b.RecordThreshold("fetch", 3, "entwurf")
-			So(b.Threshold("fetch"), ShouldEqual, 3)
+			table.RecordThreshold("fetch", 3, "entwurf")
+			So(table.Threshold("fetch"), ShouldEqual, 3)
 		})
 	})
 }
@@ -147,19 +149,19 @@
 func TestUnseenRanksAreNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A threshold that refuses nothing stays so when a lower rank is seen", t, func() {
-			b, m := NewThresholdTable(), NewDemandMeter(60)
+			table, m := NewThresholdTable(), NewDemandMeter(60)
 			for range 100 {
 				m.RecordArrival(3, 5*time.Millisecond, 0)
-				b.ObserveLevel(3)
-				b.RecordThreshold("approve", m.Threshold(), "")
+				table.ObserveLevel(3)
+				table.RecordThreshold("approve", m.Threshold(), "")
 				time.Sleep(10 * time.Millisecond)
 			}
 			So(m.Threshold(), ShouldEqual, MaxLevel)
-			So(b.Threshold("approve"), ShouldEqual, MaxLevel)
-			b.ObserveLevel(47)
-			So(b.Threshold("approve"), ShouldEqual, MaxLevel)
-			b.RecordThreshold("approve", 40, "freigabe")
-			So(b.Threshold("approve"), ShouldBeBetweenOrEqual, 45, 47)
+			So(table.Threshold("approve"), ShouldEqual, MaxLevel)
+			table.ObserveLevel(47)
+			So(table.Threshold("approve"), ShouldEqual, MaxLevel)
+			table.RecordThreshold("approve", 40, "freigabe")
+			So(table.Threshold("approve"), ShouldBeBetweenOrEqual, 45, 47)
 		})
 	})
 }
@@ -168,22 +170,22 @@
 // lowest threshold of the routes that its own routes call.
 func TestBottleneckThresholdPropagatesToCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewThresholdTable()
-		b.ObserveLevel(127)
+		table := NewThresholdTable()
+		table.ObserveLevel(127)
 		Convey("The lowest threshold of the callees is reported", t, func() {
-			b.RecordCall("dispatch", "fetch")
-			b.RecordCall("dispatch", "other")
-			b.RecordThreshold("fetch", 33, "entwurf")
-			b.RecordThreshold("other", 60, "archiv")
-			below := func(route string) string {
-				l, s := b.CalleeThreshold(route)
+			table.RecordCall("dispatch", "fetch")
+			table.RecordCall("dispatch", "other")
+			table.RecordThreshold("fetch", 33, "entwurf")
+			table.RecordThreshold("other", 60, "archiv")
+			calleeThreshold := func(route string) string {
+				l, s := table.CalleeThreshold(route)
 				return fmt.Sprint(l, " ", s)
 			}
-			So(below("dispatch"), ShouldEqual, "33 entwurf")
-			So(below("fetch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
-			So(below("unknown"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
+			So(calleeThreshold("dispatch"), ShouldEqual, "33 entwurf")
+			So(calleeThreshold("fetch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
+			So(calleeThreshold("unknown"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
 			time.Sleep(time.Minute)
-			So(below("dispatch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
+			So(calleeThreshold("dispatch"), ShouldEqual, fmt.Sprint(MaxLevel, " "))
 		})
 	})
 }
--- a/admit/success_rate.go
+++ b/admit/success_rate.go
@@ -10,8 +10,8 @@
 const (
 	// minSuccessRate is the success rate below which most requests of a
 	// route are refused at entry. Below it, almost all admitted requests run
-	// partially and fail, and a failed action may not be retried, whereas
-	// one refused at entry may.
+	// partially and fail. A non-idempotent request that failed must not be
+	// retried, whereas one refused at entry may be.
 	minSuccessRate = 1.0 / 8
 	// probeLevels is how many levels are still admitted on a failing route,
 	// to detect its recovery.
--- a/admit/success_rate_test.go
+++ b/admit/success_rate_test.go
@@ -12,27 +12,27 @@
 )
 
 // offerChains offers 35 requests per second, each of which makes the given
-// number of calls that succeed with the given probability. It returns how
-// many requests were admitted, how many of these failed, and the fraction of
-// all requests that succeeded.
-func offerChains(p *SuccessRateLimiter, rng *rand.Rand, calls int, chance float64, d time.Duration) (in, failed int, served float64) {
+// number of calls, each of which succeeds with probability callSuccessRate.
+// It returns how many requests were admitted, how many of these failed, and
+// the fraction of all requests that succeeded.
+func offerChains(l *SuccessRateLimiter, rng *rand.Rand, calls int, callSuccessRate float64, d time.Duration) (admitted, failed int, served float64) {
 	n := int(35 * d.Seconds())
 	for i := range n {
 		time.Sleep(time.Second / 35)
-		if LevelOf(2, call.RequestID(fmt.Sprint(calls, i, rng.Uint64()))) > p.Threshold("view") {
+		if LevelOf(2, call.RequestID(fmt.Sprint(calls, i, rng.Uint64()))) > l.Threshold("view") {
 			continue
 		}
-		in++
+		admitted++
 		ok := true
 		for range calls {
-			ok = ok && rng.Float64() < chance
+			ok = ok && rng.Float64() < callSuccessRate
 		}
-		p.RecordOutcome("view", 2, ok)
+		l.RecordOutcome("view", 2, ok)
 		if !ok {
 			failed++
 		}
 	}
-	return in, failed, float64(in-failed) / float64(n)
+	return admitted, failed, float64(admitted-failed) / float64(n)
 }
 
 // Every instance of a service refuses half of its calls, so nearly all
@@ -41,28 +41,28 @@
 func TestRoutesWithLowSuccessRateAreRefusedAtEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
-		p := NewSuccessRateLimiter(Unlimited{})
+		l := NewSuccessRateLimiter(Unlimited{})
 		Convey("Most are refused at entry, and all are admitted soon after the fault ends", t, func() {
-			_, _, served := offerChains(p, rng, 8, 1, 3*time.Second)
+			_, _, served := offerChains(l, rng, 8, 1, 3*time.Second)
 			So(served, ShouldEqual, 1)
-			in, failed, _ := offerChains(p, rng, 8, 0.45, 8*time.Second)
-			So(in, ShouldBeLessThan, 35*8*45/100)
-			So(failed, ShouldBeGreaterThan, in*9/10)
-			offerChains(p, rng, 8, 1, time.Second)
-			_, _, served = offerChains(p, rng, 8, 1, 2*time.Second)
+			admitted, failed, _ := offerChains(l, rng, 8, 0.45, 8*time.Second)
+			So(admitted, ShouldBeLessThan, 35*8*45/100)
+			So(failed, ShouldBeGreaterThan, admitted*9/10)
+			offerChains(l, rng, 8, 1, time.Second)
+			_, _, served = offerChains(l, rng, 8, 1, 2*time.Second)
 			So(served, ShouldEqual, 1)
 		})
 		Convey("A route with a success rate of about a half is not limited", t, func() {
-			in, _, _ := offerChains(p, rng, 1, 0.45, 8*time.Second)
-			So(in, ShouldEqual, 35*8)
+			admitted, _, _ := offerChains(l, rng, 1, 0.45, 8*time.Second)
+			So(admitted, ShouldEqual, 35*8)
 		})
 		Convey("The success rate expires without requests", t, func() {
 			for range 100 {
-				p.RecordOutcome("view", 2, false)
+				l.RecordOutcome("view", 2, false)
 			}
-			So(p.Threshold("view"), ShouldEqual, 2*LevelsPerRank+probeLevels-1)
+			So(l.Threshold("view"), ShouldEqual, 2*LevelsPerRank+probeLevels-1)
 			time.Sleep(outcomeTTL + time.Millisecond)
-			So(p.Threshold("view"), ShouldEqual, MaxLevel)
+			So(l.Threshold("view"), ShouldEqual, MaxLevel)
 		})
 	})
 }
--- a/admit/thresholds.go
+++ b/admit/thresholds.go
@@ -20,11 +20,11 @@
 	// Weighting by time rather than by number of responses makes nodes with
 	// few responses react to a surge as fast as busy ones.
 	averagingTime = 150 * time.Millisecond
-	// minAnswerWeight and maxAnswerWeight bound the weight of one response
-	// in the mean, so that no single response can refuse or admit a whole
-	// rank.
-	minAnswerWeight = 0.1
-	maxAnswerWeight = 0.5
+	// minResponseWeight and maxResponseWeight bound the weight of one
+	// response in the mean, so that no single response can refuse or admit a
+	// whole rank.
+	minResponseWeight = 0.1
+	maxResponseWeight = 0.5
 	// thresholdTTL is the age at which a threshold is discarded.
 	thresholdTTL = 3 * time.Second
 	// roundingOffset turns truncation into rounding to the nearest level.
@@ -33,8 +33,8 @@
 	// the last call.
 	calleeTTL = 30 * time.Second
 	// bottleneckTTL is how long a service is remembered as a possible
-	// bottleneck of a route. It spans the calm between surges, so that the
-	// next surge need not be learned from scratch.
+	// bottleneck of a route. It is longer than the usual time between
+	// surges, so that the bottleneck is still known in the next one.
 	bottleneckTTL = 10 * time.Minute
 )
 
@@ -57,21 +57,22 @@
 	ThresholdTable struct {
 		mu       sync.Mutex
 		ceil     float64 // highest level of the lowest rank seen
-		routes   map[string]*entry
+		routes   map[string]*routeState
 		services map[string]*estimate
 	}
 
-	entry struct {
-		lastAnswer  time.Time            // time of the last response; zero for none
-		bottlenecks map[string]time.Time // services reported as bottleneck, and when last
-		callees     map[string]time.Time // routes called, and when last
+	// routeState is what is known about a route.
+	routeState struct {
+		lastResponse time.Time            // time of the last response; zero for none
+		bottlenecks  map[string]time.Time // services reported as bottleneck, and when last
+		callees      map[string]time.Time // routes called, and when last
 	}
 
 	// estimate is a service's estimated threshold and when it was last
 	// updated.
 	estimate struct {
-		level   float64
-		updated time.Time
+		threshold float64
+		updated   time.Time
 	}
 )
 
@@ -80,7 +81,7 @@
 
 // NewThresholdTable returns an empty ThresholdTable.
 func NewThresholdTable() *ThresholdTable {
-	return &ThresholdTable{ceil: LevelsPerRank - 1, routes: map[string]*entry{}, services: map[string]*estimate{}}
+	return &ThresholdTable{ceil: LevelsPerRank - 1, routes: map[string]*routeState{}, services: map[string]*estimate{}}
 }
 
 // ObserveLevel records a request's level. Thresholds are capped at the end
@@ -94,8 +95,8 @@
 		return
 	}
 	for _, est := range t.services {
-		if est.level >= t.ceil-roundingOffset {
-			est.level = ceil
+		if est.threshold >= t.ceil-roundingOffset {
+			est.threshold = ceil
 		}
 	}
 	t.ceil = ceil
@@ -109,16 +110,16 @@
 func (t *ThresholdTable) RecordThreshold(route string, l call.Level, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, now := t.entry(route), time.Now()
-	lastAnswer := e.lastAnswer
-	e.lastAnswer = now
+	r, now := t.routeState(route), time.Now()
+	lastResponse := r.lastResponse
+	r.lastResponse = now
 	if service != "" {
-		e.bottlenecks[service] = now
-		t.update(t.serviceEstimate(service, lastAnswer, now), float64(l), now)
+		r.bottlenecks[service] = now
+		t.update(t.serviceEstimate(service, lastResponse, now), float64(l), now)
 		return
 	}
-	for s := range e.bottlenecks {
-		t.update(t.serviceEstimate(s, lastAnswer, now), t.ceil, now)
+	for s := range r.bottlenecks {
+		t.update(t.serviceEstimate(s, lastResponse, now), t.ceil, now)
 	}
 }
 
@@ -127,45 +128,45 @@
 func (t *ThresholdTable) RecordUnreachable(route, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, now := t.entry(route), time.Now()
-	lastAnswer := e.lastAnswer
-	e.lastAnswer, e.bottlenecks[service] = now, now
-	est := t.serviceEstimate(service, lastAnswer, now)
-	est.level, est.updated = t.currentLevel(est, now)*(1-minAnswerWeight), now
+	r, now := t.routeState(route), time.Now()
+	lastResponse := r.lastResponse
+	r.lastResponse, r.bottlenecks[service] = now, now
+	est := t.serviceEstimate(service, lastResponse, now)
+	est.threshold, est.updated = t.currentThreshold(est, now)*(1-minResponseWeight), now
 }
 
 // serviceEstimate returns the estimate of a service. If it has expired, it
-// is reset to admit everything as of lastAnswer, the last response on the
+// is reset to admit everything as of lastResponse, the last response on the
 // route that did not name the service.
-func (t *ThresholdTable) serviceEstimate(service string, lastAnswer, now time.Time) *estimate {
+func (t *ThresholdTable) serviceEstimate(service string, lastResponse, now time.Time) *estimate {
 	est := t.services[service]
 	if est == nil {
 		est = &estimate{}
 		t.services[service] = est
 	}
 	if now.Sub(est.updated) >= thresholdTTL {
-		*est = estimate{level: t.ceil, updated: lastAnswer}
+		*est = estimate{threshold: t.ceil, updated: lastResponse}
 	}
 	return est
 }
 
 // update adds a reported threshold to the mean, or replaces the mean if it
 // has expired.
-func (t *ThresholdTable) update(est *estimate, level float64, now time.Time) {
-	level = min(level, t.ceil)
+func (t *ThresholdTable) update(est *estimate, reported float64, now time.Time) {
+	reported = min(reported, t.ceil)
 	if elapsed := now.Sub(est.updated); elapsed < thresholdTTL {
-		prev := t.currentLevel(est, now)
-		weight := min(max(float64(elapsed)/float64(averagingTime), minAnswerWeight), maxAnswerWeight)
-		level = prev + (level-prev)*weight
+		prev := t.currentThreshold(est, now)
+		weight := min(max(float64(elapsed)/float64(averagingTime), minResponseWeight), maxResponseWeight)
+		reported = prev + (reported-prev)*weight
 	}
-	est.level, est.updated = level, now
+	est.threshold, est.updated = reported, now
 }
 
 // RecordCall records that a request on a route made a call on another route.
 func (t *ThresholdTable) RecordCall(route, callee string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.entry(route).callees[callee] = time.Now()
+	t.routeState(route).callees[callee] = time.Now()
 }
 
 // Threshold implements Admission. It returns the highest level admitted on a
@@ -184,14 +185,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	lowest, service := MaxLevel, ""
-	e := t.routes[route]
-	if e == nil {
+	r := t.routes[route]
+	if r == nil {
 		return lowest, service
 	}
 	now := time.Now()
-	for callee, at := range e.callees {
+	for callee, at := range r.callees {
 		if now.Sub(at) > calleeTTL {
-			delete(e.callees, callee)
+			delete(r.callees, callee)
 			continue
 		}
 		if l, s := t.threshold(t.routes[callee], now); l < lowest {
@@ -201,13 +202,13 @@
 	return lowest, service
 }
 
-func (t *ThresholdTable) entry(route string) *entry {
-	e := t.routes[route]
-	if e == nil {
-		e = &entry{bottlenecks: map[string]time.Time{}, callees: map[string]time.Time{}}
-		t.routes[route] = e
+func (t *ThresholdTable) routeState(route string) *routeState {
+	r := t.routes[route]
+	if r == nil {
+		r = &routeState{bottlenecks: map[string]time.Time{}, callees: map[string]time.Time{}}
+		t.routes[route] = r
 	}
-	return e
+	return r
 }
 
 // threshold returns the highest level admitted on a route and the service
@@ -215,17 +216,17 @@
 // every hop of a call chain would refuse one level more each time. A
 // threshold that refuses nothing is returned as MaxLevel, because other
 // nodes may see lower ranks.
-func (t *ThresholdTable) threshold(e *entry, now time.Time) (call.Level, string) {
+func (t *ThresholdTable) threshold(r *routeState, now time.Time) (call.Level, string) {
 	lowest, service := t.ceil, ""
-	if e == nil {
+	if r == nil {
 		return MaxLevel, service
 	}
-	for s, at := range e.bottlenecks {
+	for s, at := range r.bottlenecks {
 		if now.Sub(at) > bottleneckTTL {
-			delete(e.bottlenecks, s)
+			delete(r.bottlenecks, s)
 			continue
 		}
-		if l := t.currentLevel(t.services[s], now); l < lowest {
+		if l := t.currentThreshold(t.services[s], now); l < lowest {
 			lowest, service = l, s
 		}
 	}
@@ -236,13 +237,14 @@
 	return call.Level(l), service
 }
 
-// currentLevel returns a threshold including its rise since it went stale.
-func (t *ThresholdTable) currentLevel(est *estimate, now time.Time) float64 {
+// currentThreshold returns a threshold including its rise since it went
+// stale.
+func (t *ThresholdTable) currentThreshold(est *estimate, now time.Time) float64 {
 	if est.updated.IsZero() {
 		return t.ceil
 	}
 	if stale := now.Sub(est.updated) - staleAfter; stale > 0 {
-		return min(est.level+recoveryRate*stale.Seconds(), t.ceil)
+		return min(est.threshold+recoveryRate*stale.Seconds(), t.ceil)
 	}
-	return est.level
+	return est.threshold
 }
--- a/admit/wait.go
+++ b/admit/wait.go
@@ -15,12 +15,13 @@
 	// would refuse many requests at loads well below capacity.
 	minWaitDivisor = 8
 	// assumedLatencyDivisor determines the latency assumed for a route
-	// before one is measured, as a fraction of the target latency.
+	// before one is measured, as a fraction of the target latency, or of the
+	// remaining time if there is none.
 	assumedLatencyDivisor = 3
-	// minRetryDelay is the lower bound of the retry delay; shorter delays
-	// would bring callers back during the same overload.
+	// minRetryDelay is the lower bound of the retry delay before
+	// randomization, which reduces it by up to a half. Shorter delays would
+	// bring callers back during the same overload.
 	minRetryDelay = 60 * time.Millisecond
-	// maxRetryDelay is the upper bound of the retry delay.
 	maxRetryDelay = 1500 * time.Millisecond
 	// retryDelayDivisor bounds the retry delay to a fraction of the caller's
 	// remaining time, so that most of it is left for the next attempt.
--- a/admit/wait_test.go
+++ b/admit/wait_test.go
@@ -9,7 +9,7 @@
 
 // Guards against standing queues in which every response misses the target
 // latency and throughput is no higher.
-func TestQueueWaitEndsWhenAnswerWouldBeLate(t *testing.T) {
+func TestQueueWaitEndsWhenResponseWouldBeLate(t *testing.T) {
 	const ms = time.Millisecond
 	Convey("The wait is bounded by the target latency and the time left for a retry", t, func() {
 		for _, c := range []struct {
@@ -19,9 +19,9 @@
 		}{
 			{"rankings", RequestTiming{Remaining: 600 * ms, TargetLatency: 150 * ms, TypicalLatency: 50 * ms}, 100 * ms},
 			{"approval, half of its spare time", RequestTiming{Remaining: 1500 * ms, TargetLatency: 2000 * ms, TypicalLatency: 500 * ms}, 500 * ms},
-			{"typical latency above target", RequestTiming{Remaining: 2000 * ms, TargetLatency: 400 * ms, TypicalLatency: 500 * ms}, 50 * ms},
+			{"typical latency above target latency", RequestTiming{Remaining: 2000 * ms, TargetLatency: 400 * ms, TypicalLatency: 500 * ms}, 50 * ms},
 			{"latency unknown", RequestTiming{Remaining: 1000 * ms, TargetLatency: 300 * ms}, 200 * ms},
-			{"no target", RequestTiming{Remaining: 900 * ms}, 300 * ms},
+			{"no target latency", RequestTiming{Remaining: 900 * ms}, 300 * ms},
 			{"no time to spare", RequestTiming{Remaining: 100 * ms, TargetLatency: 300 * ms, TypicalLatency: 120 * ms}, 0},
 		} {
 			So(c.name+" "+c.t.MaxQueueWait().String(), ShouldEqual, c.name+" "+c.want.String())
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// remoteDCCost is the cost of an instance in another data centre, as a
-	// fraction of its slots in use. Traffic between data centres is
-	// expensive, so local instances are filled first, but not to the point
-	// where requests queue.
+	// remoteDCCost is the cost of an instance in another data centre. All
+	// costs are in units of utilization: 1 is all slots in use. Traffic
+	// between data centres is expensive, so local instances are filled
+	// first, but not to the point where requests queue.
 	remoteDCCost = 0.35
 	// failureCost is the cost of an instance whose requests all fail. At a
 	// failure rate of one half it outweighs an idle instance in another data
@@ -26,15 +26,15 @@
 	// the slow ones idle while requests queue at the fast ones.
 	slowdownCost    = 0.2
 	maxSlowdownCost = 2.0
-	// deadlineRiskCost is the additional cost of a slow instance for an
-	// action, multiplied by the fraction of the action's time limit that its
-	// route usually takes. An action that times out cannot be retried
-	// elsewhere.
+	// deadlineRiskCost is the additional cost of a slow instance for a
+	// non-idempotent request, multiplied by the fraction of the request's
+	// time limit that its route usually takes. Such a request cannot be
+	// retried elsewhere after a timeout.
 	deadlineRiskCost = 3.0
-	// exploreOneIn is the reciprocal of the fraction of actions that are
-	// sent to any healthy instance instead of the best one. Latency is only
-	// known relative to other instances, so a node whose local instance is
-	// slow must also try others.
+	// exploreOneIn is the reciprocal of the fraction of non-idempotent
+	// requests that are sent to any healthy instance instead of the best
+	// one. Latency is only known relative to other instances, so a node
+	// whose local instance is slow must also try others.
 	exploreOneIn = 32
 	// maxExploreFailureRate is the highest failure rate at which an instance
 	// is explored.
@@ -74,15 +74,15 @@
 
 type (
 	// Weights are the costs of an instance's properties in addition to its
-	// utilization, as fractions of its slots in use. A zero weight disables
-	// the property.
+	// utilization, in units of utilization. A zero weight disables the
+	// property.
 	Weights struct {
 		RemoteDC       float64 // for an instance in another data centre
 		FailureRate    float64 // for an instance whose requests all fail
-		ReportedHealth float64 // of the failure rate and slowdown reported by the instance's node, 0 to 1
+		ReportedHealth float64 // factor of the failure rate and slowdown reported by the instance's node, 0 to 1
 		Latency        float64 // per unit of relative latency above the mean
-		ShortDeadline  float64 // the same for an action, multiplied by the fraction of its time limit that its route takes
-		ExploreOneIn   int     // one in ExploreOneIn actions is sent to any healthy instance; 0 for none
+		ShortDeadline  float64 // the same for a non-idempotent request, multiplied by the fraction of its time limit that its route takes
+		ExploreOneIn   int     // one in ExploreOneIn non-idempotent requests is sent to any healthy instance; 0 for none
 		SampleSize     int     // number of instances considered per request; 0 for all
 	}
 
@@ -109,8 +109,8 @@
 		Instances []directory.Instance
 		SameDC    []directory.Instance   // instances in the node's own data centre; optional
 		Tried     []directory.InstanceID // instances not to be picked
-		// NonIdempotent means that the request is an action that must not be
-		// retried if it may have run.
+		// NonIdempotent means that the request must not be retried if it may
+		// have run.
 		NonIdempotent bool
 		TimeLimit     time.Duration // time limit; only used with NonIdempotent
 	}
@@ -127,16 +127,16 @@
 	}
 
 	instanceState struct {
-		outstanding       int
-		load              call.Load
-		outstandingAtLoad int // value of outstanding when load was reported
-		latency           relativeLatency
-		latencyByRoute    map[string]relativeLatency
-		health            Health  // as observed by this node
-		reportedFailing   float64 // failure rate reported by the instance's node
-		reportedSlowdown  float64 // relative latency above normal reported by the instance's node
-		reportedAt        time.Time
-		avoidUntil        time.Time
+		outstanding         int
+		load                call.Load
+		outstandingAtLoad   int // value of outstanding when load was reported
+		latency             relativeLatency
+		latencyByRoute      map[string]relativeLatency
+		health              Health  // as observed by this node
+		reportedFailureRate float64 // failure rate reported by the instance's node
+		reportedSlowdown    float64 // relative latency above normal reported by the instance's node
+		reportedAt          time.Time
+		avoidUntil          time.Time
 	}
 )
 
@@ -153,11 +153,11 @@
 // Pick chooses an instance for a request and counts the request as
 // outstanding there until Done is called. ok is false if there is no
 // candidate.
-func (b *Balancer) Pick(a PickRequest) (in directory.Instance, ok bool) {
+func (b *Balancer) Pick(req PickRequest) (in directory.Instance, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	sel := selection{b: b, ask: &a, now: time.Now(), confirmed: anyConfirmed(a.Instances)}
-	sel.explore = a.NonIdempotent && b.cfg.Weights.ExploreOneIn > 0 && rand.N(b.cfg.Weights.ExploreOneIn) == 0
+	sel := selection{b: b, req: &req, now: time.Now(), confirmed: anyConfirmed(req.Instances)}
+	sel.explore = req.NonIdempotent && b.cfg.Weights.ExploreOneIn > 0 && rand.N(b.cfg.Weights.ExploreOneIn) == 0
 	sel.run()
 	best := sel.best
 	if best == nil {
@@ -170,17 +170,17 @@
 	return *best, true
 }
 
-// deadlineRisk returns the additional cost of an instance for an action, by
-// its relative latency on the route.
-func (b *Balancer) deadlineRisk(a *PickRequest, s *instanceState, now time.Time) float64 {
-	if !a.NonIdempotent || a.TimeLimit <= 0 {
+// deadlineRisk returns the additional cost of an instance for a
+// non-idempotent request, by its relative latency on the route.
+func (b *Balancer) deadlineRisk(req *PickRequest, s *instanceState, now time.Time) float64 {
+	if !req.NonIdempotent || req.TimeLimit <= 0 {
 		return 0
 	}
-	fraction := min(1, float64(b.meanByRoute[a.Route])/float64(a.TimeLimit))
-	return b.cfg.Weights.ShortDeadline * fraction * s.latencyByRoute[a.Route].excess(now, routeSlowdownHalfLife)
+	fraction := min(1, float64(b.meanByRoute[req.Route])/float64(req.TimeLimit))
+	return b.cfg.Weights.ShortDeadline * fraction * s.latencyByRoute[req.Route].excess(now, routeSlowdownHalfLife)
 }
 
-// Done records the outcome of a request to the instance start at, as
+// Done records the outcome of a request to the run at of an instance
 // returned by Pick.
 func (b *Balancer) Done(at directory.Start, o Outcome) {
 	b.mu.Lock()
@@ -199,7 +199,7 @@
 	}
 	if o.Load != nil {
 		s.load, s.outstandingAtLoad = *o.Load, s.outstanding
-		s.reportedFailing, s.reportedSlowdown, s.reportedAt = o.Load.FailureRate, o.Load.Slowdown-1, now
+		s.reportedFailureRate, s.reportedSlowdown, s.reportedAt = o.Load.FailureRate, o.Load.Slowdown-1, now
 	}
 	s.health.Record(o.Failed || o.Refused)
 	if o.Latency > 0 {
@@ -220,7 +220,7 @@
 	s.latencyByRoute[o.Route] = s.latencyByRoute[o.Route].add(ratio, now)
 }
 
-// HasState reports whether a start of an instance has been considered for or
+// HasState reports whether a run of an instance has been considered for or
 // sent a request.
 func (b *Balancer) HasState(at directory.Start) bool {
 	b.mu.Lock()
@@ -229,7 +229,7 @@
 	return ok
 }
 
-// Prune discards the data on instance starts that v does not list and that
+// Prune discards the data on runs of instances that v does not list and that
 // have no outstanding requests.
 func (b *Balancer) Prune(v *directory.View) {
 	b.mu.Lock()
@@ -282,7 +282,7 @@
 // the latter covers the requests of all callers and so shows a failing
 // instance sooner.
 func (b *Balancer) failureRate(s *instanceState) float64 {
-	return max(s.health.FailureRate(), b.cfg.Weights.ReportedHealth*decayed(s.reportedFailing, s.reportedAt))
+	return max(s.health.FailureRate(), b.cfg.Weights.ReportedHealth*decayed(s.reportedFailureRate, s.reportedAt))
 }
 
 // anyConfirmed reports whether any instance is neither leaving nor unconfirmed.
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -31,7 +31,7 @@
 	return count
 }
 
-func loadOf(busy int) *call.Load { return &call.Load{InFlight: busy, Limit: 60} }
+func loadOf(inFlight int) *call.Load { return &call.Load{InFlight: inFlight, Limit: 60} }
 
 func TestLocalDataCentreIsPreferredUntilBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -73,8 +73,7 @@
 }
 
 // An instance's node sees the failures of all callers. Its report must take
-// effect with one response, before this node loses several actions of its
-// own.
+// effect with one response, before several of this node's own requests fail.
 func TestReportedFailuresTakeEffectAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("One report is enough, and its effect expires", t, func() {
@@ -126,21 +125,21 @@
 	})
 }
 
-// An action on a slow instance may exceed its time limit and cannot be
-// retried, so it must go to a faster instance in another data centre. Reads,
-// which can be retried, stay local.
+// A non-idempotent request to a slow instance may exceed its time limit and
+// cannot be retried, so it must go to a faster instance in another data
+// centre. Reads, which can be retried, stay local.
 func TestActionNearItsDeadlineGoesToFastInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Approvals go to the fast remote instance, reads to the local one", t, func() {
 			b := New(Config{DC: "nord", Weights: DefaultWeights()})
-			run := func(a PickRequest, usual time.Duration, n int) (near int) {
-				a.Instances = instances
+			run := func(req PickRequest, typical time.Duration, n int) (near int) {
+				req.Instances = instances
 				for range n {
-					in, _ := b.Pick(a)
-					o := Outcome{Route: a.Route, Latency: usual, Load: loadOf(6)}
+					in, _ := b.Pick(req)
+					o := Outcome{Route: req.Route, Latency: typical, Load: loadOf(6)}
 					if in.ID == "near" {
 						near++
-						o.Latency = usual * 3 / 2
+						o.Latency = typical * 3 / 2
 					}
 					b.Done(in.Start(), o)
 					time.Sleep(10 * time.Millisecond)
@@ -246,29 +245,29 @@
 	}
 }
 
-// The data on an instance must not be applied to its next start under the
-// same ID, nor may requests to the former start that end later.
+// The data on an instance must not be applied to its next run under the same
+// ID, and requests to the former run that end later must not affect it.
 func TestRestartedInstanceStartsWithoutHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("The new start gets the requests of the local instance again", t, func() {
+		Convey("The restarted local instance gets all requests again", t, func() {
 			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			first := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 1000}, {ID: "far", DC: "sued", Slots: 60, Started: 1000}}
-			var late []directory.Instance
+			var outstanding []directory.Instance
 			for range 100 {
 				in, _ := b.Pick(PickRequest{Instances: first})
-				if in.ID == "near" && len(late) < 10 {
-					late = append(late, in)
+				if in.ID == "near" && len(outstanding) < 10 {
+					outstanding = append(outstanding, in)
 					continue
 				}
 				b.Done(in.Start(), Outcome{Failed: in.ID == "near", Load: loadOf(50)})
 			}
-			again := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 2000}, first[1]}
-			for _, in := range late {
+			restarted := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 2000}, first[1]}
+			for _, in := range outstanding {
 				b.Done(in.Start(), Outcome{Failed: true, Leaving: true})
 			}
 			near := 0
 			for range 100 {
-				in, _ := b.Pick(PickRequest{Instances: again})
+				in, _ := b.Pick(PickRequest{Instances: restarted})
 				if in.ID == "near" {
 					near++
 				}
--- a/balance/health.go
+++ b/balance/health.go
@@ -50,9 +50,9 @@
 }
 
 // decayed returns a value decayed by the time since at.
-func decayed(rate float64, at time.Time) float64 {
-	if rate == 0 {
+func decayed(value float64, at time.Time) float64 {
+	if value == 0 {
 		return 0
 	}
-	return rate / (1 + float64(time.Since(at))/float64(failureHalfLife))
+	return value / (1 + float64(time.Since(at))/float64(failureHalfLife))
 }
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -17,12 +17,12 @@
 // selection is the state of picking an instance for one request.
 type selection struct {
 	b         *Balancer
-	ask       *PickRequest
+	req       *PickRequest
 	now       time.Time
 	confirmed bool // an instance neither leaving nor unconfirmed exists
-	explore   bool
+	explore   bool // prefer a random healthy instance
 
-	best, avoided         *directory.Instance
+	best, avoided         *directory.Instance // lowest-cost instances not in backoff and in backoff
 	bestCost, avoidedCost float64
 }
 
@@ -30,18 +30,18 @@
 // suitable.
 func (sel *selection) run() {
 	size := sel.b.cfg.Weights.SampleSize
-	if size > 0 && len(sel.ask.Instances) > size {
-		sel.considerSome(sel.ask.SameDC, size/2)
-		sel.considerSome(sel.ask.Instances, size-size/2)
+	if size > 0 && len(sel.req.Instances) > size {
+		sel.considerSome(sel.req.SameDC, size/2)
+		sel.considerSome(sel.req.Instances, size-size/2)
 		if sel.best != nil {
 			return
 		}
 	}
-	sel.considerSome(sel.ask.Instances, len(sel.ask.Instances))
+	sel.considerSome(sel.req.Instances, len(sel.req.Instances))
 }
 
-// considerSome considers n consecutive instances from a random start.
-// Assumes that their order is random.
+// considerSome considers n consecutive instances from a random position. It
+// assumes that the order of all is random.
 func (sel *selection) considerSome(all []directory.Instance, n int) {
 	if len(all) == 0 {
 		return
@@ -56,12 +56,12 @@
 }
 
 func (sel *selection) consider(in *directory.Instance) {
-	if in.Leaving || (sel.confirmed && in.Unconfirmed) || slices.Contains(sel.ask.Tried, in.ID) {
+	if in.Leaving || (sel.confirmed && in.Unconfirmed) || slices.Contains(sel.req.Tried, in.ID) {
 		return
 	}
 	b := sel.b
 	s := b.state(in.Start())
-	cost := b.cost(in, s, sel.now) + b.deadlineRisk(sel.ask, s, sel.now)
+	cost := b.cost(in, s, sel.now) + b.deadlineRisk(sel.req, s, sel.now)
 	if sel.now.Before(s.avoidUntil) {
 		if sel.avoided == nil || cost < sel.avoidedCost {
 			sel.avoided, sel.avoidedCost = in, cost
--- a/dirsync/fleet_test.go
+++ b/dirsync/fleet_test.go
@@ -58,8 +58,8 @@
 				calls, messages, bytes = f.store.calls.Load()-calls, f.messages.Load()-messages, f.bytes.Load()-bytes
 				t.Logf("%d nodes, %d readers, idle: %.1f source calls/s, %.2f messages/s and %.0f B/s per node", s.nodes, readers,
 					float64(calls)/30, float64(messages)/30/float64(s.nodes), float64(bytes)/30/float64(s.nodes))
-				// The readers together end four watches a second; beyond 60
-				// readers each ends one per 15 s.
+				// With up to 60 readers, at most four watches in total time out
+				// per second; with more, each reader's does every 15 s.
 				So(float64(calls)/30, ShouldBeLessThan, 6.5)
 				for range 3 {
 					calls, messages, bytes = f.store.calls.Load(), f.messages.Load(), f.bytes.Load()
@@ -129,14 +129,14 @@
 // Two writes follow each other and the store notifies its watches of the first
 // only. The second must still reach all nodes in time.
 func TestChangeMissedByWatchesReachesAllNodes(t *testing.T) {
-	inForce := map[int]time.Duration{15: 2 * time.Second, 200: 3 * time.Second, 1100: 9 * time.Second}
+	maxLag := map[int]time.Duration{15: 2 * time.Second, 200: 3 * time.Second, 1100: 9 * time.Second}
 	for _, s := range fleetSizes {
 		runInFleet(t, s.nodes, s.dcs, func(t *testing.T, f *fleet) {
 			f.store.put(f.order[0].in)
 			time.Sleep(time.Second)
 			f.store.putWithoutNotify(f.order[1].in)
 			began := time.Now()
-			for len(f.lagging()) > 0 && time.Since(began) < inForce[s.nodes] {
+			for len(f.lagging()) > 0 && time.Since(began) < maxLag[s.nodes] {
 				time.Sleep(10 * time.Millisecond)
 			}
 			t.Logf("%d nodes: all after %v", s.nodes, time.Since(began))
@@ -151,8 +151,8 @@
 // take over, or the others would keep an old state for ever.
 func TestLostReadersAreReplaced(t *testing.T) {
 	runInFleet(t, 200, 5, func(t *testing.T, f *fleet) {
-		gone := f.readersOf("dc-0")
-		for _, n := range gone {
+		killed := f.readersOf("dc-0")
+		for _, n := range killed {
 			n.kill()
 		}
 		Convey("A change still reaches all nodes", t, func() {
@@ -161,13 +161,13 @@
 			So(f.lagging(), ShouldBeEmpty)
 			time.Sleep(5 * time.Second)
 			now := f.readersOf("dc-0")
-			So(len(now), ShouldBeBetween, 0, 4*len(gone))
+			So(len(now), ShouldBeBetween, 0, 4*len(killed))
 			Convey("The former readers read again after a restart", func() {
-				for _, n := range gone {
+				for _, n := range killed {
 					n.start()
 				}
 				time.Sleep(2 * maxPeerBackoff)
-				So(f.readersOf("dc-0"), ShouldHaveLength, len(gone))
+				So(f.readersOf("dc-0"), ShouldHaveLength, len(killed))
 				So(f.lagging(), ShouldBeEmpty)
 			})
 		})
--- a/dirsync/model_test.go
+++ b/dirsync/model_test.go
@@ -159,10 +159,10 @@
 			m.repair()
 			m.run(maxLagAfterRepair)
 			// With one faulty node all others must stay current.
-			one := m.node(t)
+			faulty := m.node(t)
 			rapid.SampledFrom([]func(){
-				func() { one.link.storeUnreachable.Store(true) }, func() { one.link.storeRejects.Store(true) },
-				func() { one.link.isolated.Store(true) }, one.kill,
+				func() { faulty.link.storeUnreachable.Store(true) }, func() { faulty.link.storeRejects.Store(true) },
+				func() { faulty.link.isolated.Store(true) }, faulty.kill,
 			}).Draw(t, "fault")()
 			m.run(time.Duration(rapid.IntRange(0, 40).Draw(t, "ticks")) * checkInterval)
 			m.expectCaughtUp(maxLagOneFault)
@@ -190,6 +190,6 @@
 	})
 }
 
-// noDeadlineTB hides T.Deadline from rapid, which must not be called in a
-// synctest bubble.
+// noDeadlineTB hides T.Deadline, which must not be called in a synctest bubble,
+// from rapid.
 type noDeadlineTB struct{ rapid.TB }
--- a/dirsync/syncer.go
+++ b/dirsync/syncer.go
@@ -14,18 +14,18 @@
 
 const (
 	// pollWait is the long-poll timeout of a poll to a reader. Nodes poll their
-	// readers in rotation, so a change that one reader missed is learnt from
-	// the next within a second. A change must be in force within two.
+	// readers in rotation, so a change that one reader missed is received from
+	// the next within a second. All nodes must have a change within two.
 	pollWait = time.Second
 	// pollWaitSourceDown is the long-poll timeout used by a reader while its
 	// source does not answer. It has to be short: the age of what its followers
 	// know includes this wait, and they consider the source unreachable after
 	// 2.5 s.
 	pollWaitSourceDown = 300 * time.Millisecond
-	// bootstrapTimeout is how long a starting node tries to learn from its
-	// seeds before it reads the source itself. It keeps a start of all nodes
-	// from loading the source with every node's calls, and bounds the time in
-	// which the node cannot serve.
+	// bootstrapTimeout is how long a starting node tries to get a snapshot from
+	// its seeds before it reads the source itself. It keeps a start of all
+	// nodes from loading the source with every node's calls, and bounds the
+	// time in which the node cannot serve.
 	bootstrapTimeout = time.Second
 	// bootstrapRetryDelay is the pause after a seed that did not answer; it may
 	// still be starting.
@@ -66,7 +66,7 @@
 		log         log.Interface
 		reader      *directory.Reader
 		backoff     directory.Backoff // of the source
-		peerWaiting chan struct{}     // capacity 1; another node polls this one
+		peerWaiting chan struct{}     // capacity 1; signalled when another node polls this one
 
 		counters counters
 
@@ -122,8 +122,8 @@
 	}
 }
 
-// PeerPolled records that another node polled this one. A node that knows
-// nothing yet then stops waiting for its seeds; otherwise nodes that start
+// PeerPolled records that another node polled this one. A node without a
+// snapshot then stops waiting for its seeds; otherwise nodes that start
 // together would wait for each other. It is safe for concurrent use.
 func (s *Syncer) PeerPolled() {
 	if s.dir.HasSnapshot() {
@@ -147,8 +147,8 @@
 }
 
 // localReaders returns the readers of this data centre as seen from this node.
-// Nodes in backoff are skipped, and the node itself reads once its rank is
-// reached.
+// Nodes in backoff are skipped, so that the next in rank order, which may be
+// this node, take their place.
 func (s *Syncer) localReaders() []Addr {
 	now := time.Now()
 	return s.currentRanking().readers(s.cfg.DC, func(a Addr) bool { return a != s.cfg.Self && s.backoffs.blocked(a, now) })
@@ -258,9 +258,9 @@
 	s.dir.ApplyDelta(delta)
 }
 
-// bootstrap polls the seeds until one has answered with a list, another node
-// polls this one, or, for a node that can read the source, bootstrapTimeout has
-// passed.
+// bootstrap polls the seeds until one has answered with a snapshot, another
+// node polls this one, or, for a node that can read the source,
+// bootstrapTimeout has passed.
 func (s *Syncer) bootstrap(ctx context.Context) {
 	if s.cfg.Peers == nil || len(s.cfg.Seeds) == 0 {
 		return
@@ -290,9 +290,10 @@
 	}
 }
 
-// Collectors returns the highest-ranked nodes of this data centre and of each
-// other one, and the number of nodes in all data centres. All nodes with the
-// same view return the same ones.
+// Collectors returns the nodes that collect the usage of client accounts, which
+// are the highest-ranked of this data centre and of each other one, and the
+// number of nodes in all data centres. All nodes with the same view return the
+// same ones.
 func (s *Syncer) Collectors() (own []Addr, others [][]Addr, total int) {
 	r := s.currentRanking()
 	for _, dc := range r.otherDCs(s.cfg.DC) {
--- a/route/table.go
+++ b/route/table.go
@@ -133,14 +133,14 @@
 			remote = append(remote, in)
 		}
 	}
-	set := local
-	if len(set) == 0 {
-		set = remote
+	candidates := local
+	if len(candidates) == 0 {
+		candidates = remote
 	}
-	if len(set) == 0 {
+	if len(candidates) == 0 {
 		return callgraph.Instance{}, false
 	}
-	return set[t.next.Add(1)%uint64(len(set))], true
+	return candidates[t.next.Add(1)%uint64(len(candidates))], true
 }
 
 func (t *Table) blocked(name string, now time.Time) bool {
--- a/slots/gate_test.go
+++ b/slots/gate_test.go
@@ -18,9 +18,9 @@
 	return Ticket{Level: admit.LevelOf(priority, "x"), Deadline: time.Now().Add(left)}
 }
 
-// enter calls g.Acquire on a new goroutine and returns a channel for its
-// error.
-func enter(ctx context.Context, g *Gate, t Ticket) <-chan error {
+// acquireAsync calls g.Acquire on a new goroutine and returns a channel for
+// its error.
+func acquireAsync(ctx context.Context, g *Gate, t Ticket) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := g.Acquire(ctx, t)
@@ -37,17 +37,17 @@
 		Convey("The order is by rank, then by level within the rank, then by arrival", t, func() {
 			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
-			read := enter(ctx, g, ticket(2, time.Minute))
-			readCall := enter(ctx, g, ticket(2, time.Minute))
-			lowerPart := ticket(2, time.Minute)
-			lowerPart.Level = 2 * admit.LevelsPerRank
-			first := enter(ctx, g, lowerPart)
-			view := enter(ctx, g, ticket(1, time.Minute))
-			approval := enter(ctx, g, ticket(0, time.Minute))
-			approvalCall := enter(ctx, g, ticket(0, time.Minute))
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			read := acquireAsync(ctx, g, ticket(2, time.Minute))
+			readCall := acquireAsync(ctx, g, ticket(2, time.Minute))
+			lowLevelTicket := ticket(2, time.Minute)
+			lowLevelTicket.Level = 2 * admit.LevelsPerRank
+			lowLevelRead := acquireAsync(ctx, g, lowLevelTicket)
+			view := acquireAsync(ctx, g, ticket(1, time.Minute))
+			approval := acquireAsync(ctx, g, ticket(0, time.Minute))
+			approvalCall := acquireAsync(ctx, g, ticket(0, time.Minute))
 			So(g.Load().Queued, ShouldEqual, 6)
-			for _, next := range []<-chan error{approval, approvalCall, view, first, read, readCall} {
+			for _, next := range []<-chan error{approval, approvalCall, view, lowLevelRead, read, readCall} {
 				g.Release(time.Millisecond)
 				So(<-next, ShouldBeNil)
 			}
@@ -63,14 +63,14 @@
 			g := NewGate(2, DefaultQueueOrder())
 			ctx := context.Background()
 			for range 2 {
-				So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+				So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			}
 			for range 100 {
-				enter(ctx, g, ticket(2, time.Minute))
+				acquireAsync(ctx, g, ticket(2, time.Minute))
 			}
 			tk := ticket(1, 3*initialServiceTime)
 			tk.MaxQueueWait = initialServiceTime
-			view := enter(ctx, g, tk)
+			view := acquireAsync(ctx, g, tk)
 			g.Release(initialServiceTime)
 			So(<-view, ShouldBeNil)
 			g.Close()
@@ -85,11 +85,11 @@
 		Convey("At once if the expected wait is too long, at the deadline otherwise", t, func() {
 			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
-			So(errors.Is(<-enter(ctx, g, ticket(0, initialServiceTime)), ErrTooLate), ShouldBeTrue)
+			So(errors.Is(<-acquireAsync(ctx, g, ticket(0, initialServiceTime)), ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 0)
-			late := enter(ctx, g, ticket(0, 3*initialServiceTime))
+			late := acquireAsync(ctx, g, ticket(0, 3*initialServiceTime))
 			So(errors.Is(<-late, ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 3*initialServiceTime)
 			So(g.Load().Queued, ShouldEqual, 0)
@@ -97,37 +97,37 @@
 		Convey("A request is refused after its MaxQueueWait, before its deadline", t, func() {
 			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 			began := time.Now()
 			tk := ticket(0, time.Minute)
 			tk.MaxQueueWait = 2 * initialServiceTime
-			waiting := enter(ctx, g, tk)
+			waiting := acquireAsync(ctx, g, tk)
 			So(errors.Is(<-waiting, ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
 			tk.MaxQueueWait = initialServiceTime / 2
-			So(errors.Is(<-enter(ctx, g, tk), ErrTooLate), ShouldBeTrue)
+			So(errors.Is(<-acquireAsync(ctx, g, tk), ErrTooLate), ShouldBeTrue)
 			So(time.Since(began), ShouldEqual, 2*initialServiceTime)
 		})
 		Convey("Cancelling a queued request removes it from the queue", t, func() {
 			g := NewGate(1, DefaultQueueOrder())
 			ctx, cancel := context.WithCancel(context.Background())
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
-			gone := enter(ctx, g, ticket(0, time.Minute))
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			cancelled := acquireAsync(ctx, g, ticket(0, time.Minute))
 			cancel()
-			So(errors.Is(<-gone, context.Canceled), ShouldBeTrue)
+			So(errors.Is(<-cancelled, context.Canceled), ShouldBeTrue)
 			So(g.Load().Queued, ShouldEqual, 0)
 		})
 		Convey("Close refuses all queued requests at once", t, func() {
 			g := NewGate(1, DefaultQueueOrder())
 			ctx := context.Background()
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
-			waiting := enter(ctx, g, ticket(0, time.Minute))
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			waiting := acquireAsync(ctx, g, ticket(0, time.Minute))
 			g.Close()
 			So(errors.Is(<-waiting, ErrLeaving), ShouldBeTrue)
-			So(errors.Is(<-enter(ctx, g, ticket(0, time.Minute)), ErrLeaving), ShouldBeTrue)
+			So(errors.Is(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ErrLeaving), ShouldBeTrue)
 			g.Open()
 			g.Release(0)
-			So(<-enter(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
+			So(<-acquireAsync(ctx, g, ticket(0, time.Minute)), ShouldBeNil)
 		})
 	})
 }
@@ -139,26 +139,26 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) {
 			g := NewGate(3, DefaultQueueOrder())
-			limit, over := 3, 0 // over: admitted before the limit was lowered
+			limit, inFlightAtChange := 3, 0 // requests in flight when the limit was last changed
 			var waiting []<-chan error
 			var cancels []context.CancelFunc
-			in := 0
+			inFlight := 0
 			collect := func() {
 				synctest.Wait()
-				var still []<-chan error
+				var pending []<-chan error
 				for _, w := range waiting {
 					select {
 					case err := <-w:
 						if err == nil {
-							in++
+							inFlight++
 						}
 					default:
-						still = append(still, w)
+						pending = append(pending, w)
 					}
 				}
-				waiting = still
-				if in > max(limit, over) {
-					rt.Fatalf("%d requests at the target, limit %d", in, limit)
+				waiting = pending
+				if inFlight > max(limit, inFlightAtChange) {
+					rt.Fatalf("%d requests at the target, limit %d", inFlight, limit)
 				}
 			}
 			rt.Repeat(map[string]func(*rapid.T){
@@ -167,14 +167,14 @@
 					cancels = append(cancels, cancel)
 					tk := ticket(rapid.IntRange(0, 3).Draw(rt, "priority"),
 						time.Duration(rapid.IntRange(1, 500).Draw(rt, "left"))*time.Millisecond)
-					waiting = append(waiting, enter(ctx, g, tk))
+					waiting = append(waiting, acquireAsync(ctx, g, tk))
 					collect()
 				},
 				"end": func(rt *rapid.T) {
-					if in == 0 {
+					if inFlight == 0 {
 						rt.Skip("no request at the target")
 					}
-					in--
+					inFlight--
 					g.Release(time.Duration(rapid.IntRange(0, 100).Draw(rt, "took")) * time.Millisecond)
 					collect()
 				},
@@ -186,7 +186,7 @@
 					collect()
 				},
 				"limit": func(rt *rapid.T) {
-					over = in
+					inFlightAtChange = inFlight
 					limit = rapid.IntRange(1, 5).Draw(rt, "limit")
 					g.SetLimit(limit)
 					collect()
@@ -195,8 +195,8 @@
 				"close": func(*rapid.T) { g.Close(); collect() },
 				"open":  func(*rapid.T) { g.Open(); collect() },
 				"": func(rt *rapid.T) {
-					if l := g.Load(); l.InFlight != in || l.Queued != len(waiting) {
-						rt.Fatalf("gate reports %d busy and %d queued, want %d and %d", l.InFlight, l.Queued, in, len(waiting))
+					if l := g.Load(); l.InFlight != inFlight || l.Queued != len(waiting) {
+						rt.Fatalf("gate reports %d in flight and %d queued, want %d and %d", l.InFlight, l.Queued, inFlight, len(waiting))
 					}
 				},
 			})
--- a/slots/mixed_load_test.go
+++ b/slots/mixed_load_test.go
@@ -13,43 +13,42 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Reads with eight calls each would fill the target one and a half times
-// over. Guards against refusing most of the releases, which need no calls,
-// because calls of running reads always wait in the queue ahead of new
-// requests.
+// Reads with eight calls each demand 1.6 times the capacity of the target.
+// Guards against refusing most of the releases, which make no calls, because
+// calls of running reads always wait in the queue ahead of new requests.
 func TestSingleRequestsAreServedBesideCallChains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// There are 15 slots. A read takes 8 x 30 ms of slot time, a release
 		// 90 ms, so reads demand 24 slots and releases 1.8.
 		const reads, releases, seconds = 100, 20, 10
 		g := NewGate(15, DefaultQueueOrder())
-		var read, released atomic.Int64
-		offer := func(perSecond int, one func(id call.RequestID)) {
+		var completedReads, completedReleases atomic.Int64
+		offer := func(perSecond int, send func(id call.RequestID)) {
 			for i := range perSecond * seconds {
-				go one(call.RequestID(strconv.Itoa(perSecond) + "-" + strconv.Itoa(i)))
+				go send(call.RequestID(strconv.Itoa(perSecond) + "-" + strconv.Itoa(i)))
 				time.Sleep(time.Second / time.Duration(perSecond))
 			}
 		}
-		view := callChain{calls: 8, serviceTime: 30 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: 800 * time.Millisecond}
+		readChain := callChain{calls: 8, serviceTime: 30 * time.Millisecond, callTimeout: 300 * time.Millisecond, timeout: 800 * time.Millisecond}
 		go offer(reads, func(id call.RequestID) {
-			if view.runOne(g, id) {
-				read.Add(1)
+			if readChain.runOne(g, id) {
+				completedReads.Add(1)
 			}
 		})
 		offer(releases, func(id call.RequestID) {
-			by := time.Now().Add(1200 * time.Millisecond)
-			ticket := Ticket{Level: admit.LevelOf(2, id), Deadline: by, MaxQueueWait: 200 * time.Millisecond}
+			deadline := time.Now().Add(1200 * time.Millisecond)
+			ticket := Ticket{Level: admit.LevelOf(2, id), Deadline: deadline, MaxQueueWait: 200 * time.Millisecond}
 			if _, err := g.Acquire(context.Background(), ticket); err != nil {
 				return
 			}
 			time.Sleep(90 * time.Millisecond)
 			g.Release(90 * time.Millisecond)
-			released.Add(1)
+			completedReleases.Add(1)
 		})
 		time.Sleep(2 * time.Second)
 		Convey("At least half of the releases complete, and reads use the remaining capacity", t, func() {
-			So(released.Load(), ShouldBeGreaterThan, releases*seconds/2)
-			So(read.Load(), ShouldBeGreaterThan, reads*seconds*4/10)
+			So(completedReleases.Load(), ShouldBeGreaterThan, releases*seconds/2)
+			So(completedReads.Load(), ShouldBeGreaterThan, reads*seconds*4/10)
 		})
 	})
 }
--- a/slots/service_time.go
+++ b/slots/service_time.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// ServiceTimes keeps the mean service time by kind of request. It is safe for
-// concurrent use.
+// ServiceTimes keeps the mean duration of requests by kind, such as their
+// service time at a target or their end-to-end time. It is safe for concurrent
+// use.
 type ServiceTimes struct {
 	mu   sync.Mutex
 	mean map[string]time.Duration
@@ -15,7 +16,7 @@
 // NewServiceTimes returns a ServiceTimes without any samples.
 func NewServiceTimes() *ServiceTimes { return &ServiceTimes{mean: map[string]time.Duration{}} }
 
-// Record records the service time of one request.
+// Record records the duration of one request.
 func (s *ServiceTimes) Record(kind string, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,8 +27,8 @@
 	s.mean[kind] = m + time.Duration(float64(d-m)*smoothing)
 }
 
-// Mean returns the mean service time of a kind, or the given default if it
-// is unknown.
+// Mean returns the mean duration of a kind of request, or otherwise if it is
+// unknown.
 func (s *ServiceTimes) Mean(kind string, otherwise time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/slots/slowdown_test.go
+++ b/slots/slowdown_test.go
@@ -11,8 +11,8 @@
 )
 
 // runLoad keeps a number of requests in flight for the duration d. Their
-// service times have the given mean, multiplied by slow.
-func runLoad(p *SlowdownEstimator, slots int, mean, d time.Duration, slow float64) {
+// service times have the given mean, multiplied by slowdown.
+func runLoad(e *SlowdownEstimator, slots int, mean, d time.Duration, slowdown float64) {
 	type job struct {
 		r   *TrackedRequest
 		end time.Time
@@ -31,8 +31,8 @@
 		jobs = kept
 		for len(jobs) < slots {
 			// Log-normal with a standard deviation of about half the mean.
-			took := float64(mean) * slow * math.Exp(0.47*rng.NormFloat64()-0.11)
-			jobs = append(jobs, job{p.Begin("fetch"), time.Now().Add(time.Duration(took))})
+			took := float64(mean) * slowdown * math.Exp(0.47*rng.NormFloat64()-0.11)
+			jobs = append(jobs, job{e.Begin("fetch"), time.Now().Add(time.Duration(took))})
 		}
 	}
 	for _, j := range jobs {
@@ -45,18 +45,18 @@
 // second, or requests sent to it meanwhile time out.
 func TestSlowdownIsDetectedBeforeAnyCompletion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewSlowdownEstimator()
-		runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
+		e := NewSlowdownEstimator()
+		runLoad(e, 20, 140*time.Millisecond, 5*time.Second, 1)
 		Convey("The slowdown is detected within half a second", t, func() {
-			So(p.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
-			go runLoad(p, 20, 140*time.Millisecond, 2*time.Second, 12)
+			So(e.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
+			go runLoad(e, 20, 140*time.Millisecond, 2*time.Second, 12)
 			time.Sleep(500 * time.Millisecond)
-			So(p.Slowdown(), ShouldBeGreaterThan, 3)
-			So(p.ExpectedTime("fetch"), ShouldBeGreaterThan, 600*time.Millisecond)
+			So(e.Slowdown(), ShouldBeGreaterThan, 3)
+			So(e.ExpectedTime("fetch"), ShouldBeGreaterThan, 600*time.Millisecond)
 			time.Sleep(3 * time.Second)
 			Convey("The estimate returns to normal after recovery", func() {
-				runLoad(p, 20, 140*time.Millisecond, 5*time.Second, 1)
-				So(p.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
+				runLoad(e, 20, 140*time.Millisecond, 5*time.Second, 1)
+				So(e.ExpectedTime("fetch"), ShouldBeLessThan, 200*time.Millisecond)
 			})
 		})
 	})
@@ -67,19 +67,19 @@
 func TestNoSlowdownReportedAtNormalSpeed(t *testing.T) {
 	for _, slots := range []int{1, 4, 60} {
 		synctest.Test(t, func(t *testing.T) {
-			p := NewSlowdownEstimator()
-			runLoad(p, slots, 140*time.Millisecond, 20*time.Second, 1)
-			go runLoad(p, slots, 140*time.Millisecond, 60*time.Second, 1)
-			slow := 0
-			const looks = 1000
-			for range looks {
+			e := NewSlowdownEstimator()
+			runLoad(e, slots, 140*time.Millisecond, 20*time.Second, 1)
+			go runLoad(e, slots, 140*time.Millisecond, 60*time.Second, 1)
+			reported := 0
+			const samples = 1000
+			for range samples {
 				time.Sleep(50 * time.Millisecond)
-				if p.Slowdown() > 1 {
-					slow++
+				if e.Slowdown() > 1 {
+					reported++
 				}
 			}
 			Convey("At most 1 in 100 samples reports a slowdown", t, func() {
-				So(slow, ShouldBeLessThanOrEqualTo, looks/100)
+				So(reported, ShouldBeLessThanOrEqualTo, samples/100)
 			})
 			time.Sleep(time.Minute)
 		})
@@ -89,9 +89,9 @@
 // A slow downstream service must not make the calling target look slow.
 func TestTimeInOutboundCallsIsNotSlowdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewSlowdownEstimator()
+		e := NewSlowdownEstimator()
 		for range 40 {
-			r := p.Begin("read")
+			r := e.Begin("read")
 			time.Sleep(20 * time.Millisecond)
 			r.BeginCall()
 			time.Sleep(100 * time.Millisecond)
@@ -101,18 +101,18 @@
 		Convey("Only time outside of outbound calls counts", t, func() {
 			var rs []*TrackedRequest
 			for range 20 {
-				r := p.Begin("read")
+				r := e.Begin("read")
 				r.BeginCall()
 				rs = append(rs, r)
 			}
 			time.Sleep(2 * time.Second)
-			So(p.Slowdown(), ShouldEqual, 1)
-			So(p.ExpectedTime("read"), ShouldEqual, 120*time.Millisecond)
+			So(e.Slowdown(), ShouldEqual, 1)
+			So(e.ExpectedTime("read"), ShouldEqual, 120*time.Millisecond)
 			for _, r := range rs {
 				r.EndCall()
 			}
 			time.Sleep(time.Second)
-			So(p.Slowdown(), ShouldBeGreaterThan, 5)
+			So(e.Slowdown(), ShouldBeGreaterThan, 5)
 		})
 	})
 }
@@ -120,15 +120,15 @@
 // BenchmarkSlowdownEstimator measures the overhead per request with sixty
 // others in flight.
 func BenchmarkSlowdownEstimator(b *testing.B) {
-	p := NewSlowdownEstimator()
+	e := NewSlowdownEstimator()
 	for range 60 {
-		p.Begin("read").End(true)
-		p.Begin("read")
+		e.Begin("read").End(true)
+		e.Begin("read")
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		r := p.Begin("read")
-		p.ExpectedTime("read")
+		r := e.Begin("read")
+		e.ExpectedTime("read")
 		r.End(true)
 	}
 }
--- a/slots/surge_test.go
+++ b/slots/surge_test.go
@@ -25,31 +25,31 @@
 
 // run offers the load to a gate for the duration d and returns the number of
 // requests that completed.
-func (c callChain) run(g *Gate, d time.Duration) (finished int) {
+func (c callChain) run(g *Gate, d time.Duration) (completed int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range int(d.Seconds() * float64(c.perSecond)) {
 		wg.Go(func() {
 			if c.runOne(g, call.RequestID(strconv.Itoa(i))) {
 				mu.Lock()
-				finished++
+				completed++
 				mu.Unlock()
 			}
 		})
 		time.Sleep(time.Second / time.Duration(c.perSecond))
 	}
 	wg.Wait()
-	return finished
+	return completed
 }
 
 func (c callChain) runOne(g *Gate, id call.RequestID) bool {
 	end := time.Now().Add(c.timeout)
 	for range c.calls {
-		by := time.Now().Add(c.callTimeout)
-		if by.After(end) {
-			by = end
+		deadline := time.Now().Add(c.callTimeout)
+		if deadline.After(end) {
+			deadline = end
 		}
-		if _, err := g.Acquire(context.Background(), Ticket{Level: admit.LevelOf(2, id), Deadline: by}); err != nil {
+		if _, err := g.Acquire(context.Background(), Ticket{Level: admit.LevelOf(2, id), Deadline: deadline}); err != nil {
 			return false
 		}
 		time.Sleep(c.serviceTime)
@@ -58,8 +58,9 @@
 	return time.Now().Before(end)
 }
 
-// At twice the capacity, guards against congestion collapse: if every call
-// waits its turn, hardly any request completes all of its calls in time.
+// At twice the capacity, guards against congestion collapse: if calls are
+// served in order of arrival, hardly any request completes all of its calls
+// in time.
 func TestSurgeOfCallChainsKeepsThroughput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("At twice the capacity, throughput is at least nine tenths of capacity", t, func() {
