--- a/callgraph/errors.go
+++ b/callgraph/errors.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// Problem is one validation error. Line is 1-based; 0 means that the
-	// error has no line of its own.
+	// Problem is one reason why a configuration is invalid. Line is 1-based; 0
+	// means that the problem concerns no single line.
 	Problem struct {
 		Line   int
 		Reason string
--- a/callgraph/graph.go
+++ b/callgraph/graph.go
@@ -20,7 +20,7 @@
 		RetryBudget int // retries allowed for one request across all hops
 		Services    map[string]*Service
 		Text        []byte    // source text as submitted
-		AcceptedAt  time.Time // when the platform accepted it; zero if unknown
+		AcceptedAt  time.Time // when the configuration service accepted it; zero if unknown
 
 		byName map[string]instancePos // instances by name; set by Parse
 	}
@@ -34,8 +34,8 @@
 	// Service is one service of the call graph.
 	Service struct {
 		Name        string
-		Slots       int // concurrent requests per instance
-		Connections int // open connections per instance
+		Slots       int // maximum concurrent requests per instance
+		Connections int // maximum open connections per instance; 0 for no limit
 		DependsOn   []string
 		Instances   []Instance
 		Operations  map[string]*Operation
@@ -89,7 +89,8 @@
 	return p.service, p.service.Instances[p.index], true
 }
 
-// indexInstances fills byName, because every entry call looks up an instance.
+// indexInstances fills byName. A node looks up an instance for every call that
+// enters the mesh through it.
 func (g *Graph) indexInstances() {
 	g.byName = map[string]instancePos{}
 	for _, s := range g.Services {
--- a/callgraph/parse_bench_test.go
+++ b/callgraph/parse_bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // generateConfig returns a configuration in which each service has two
-// operations, depends on the next service, and has its share of the
+// operations, depends on the next service, and has an equal share of the
 // instances, spread over six data centres.
 func generateConfig(services, instances int) []byte {
 	var b strings.Builder
@@ -46,8 +46,8 @@
 	b.ReportMetric(float64(len(text)), "B/text")
 }
 
-// BenchmarkGraphMemory reports the heap size of one parsed configuration; a
-// node keeps every configuration of its dedup window.
+// BenchmarkGraphMemory reports the heap size of one parsed configuration. A node
+// keeps a replaced one while calls made under it may still be retried.
 func BenchmarkGraphMemory(b *testing.B) {
 	const graphs = 20
 	text := generateConfig(120, 1100)
--- a/callgraph/parse_test.go
+++ b/callgraph/parse_test.go
@@ -38,10 +38,10 @@
 		g, err := Parse(text)
 		So(g, ShouldBeNil)
 		So(errors.Is(err, ErrInvalid), ShouldBeTrue)
-		var te *ValidationError
-		So(errors.As(err, &te), ShouldBeTrue)
+		var validationErr *ValidationError
+		So(errors.As(err, &validationErr), ShouldBeTrue)
 		lines := map[int]bool{}
-		for _, p := range te.Problems {
+		for _, p := range validationErr.Problems {
 			lines[p.Line] = true
 		}
 		So(lines[4], ShouldBeTrue)  // slots = many
@@ -59,7 +59,7 @@
 }
 
 // A node finds its service by instance name, so one name in two services would
-// be ambiguous and a key could be owned in both.
+// be ambiguous and an idempotency key could have an owner in both.
 func TestParseRejectsDuplicateInstance(t *testing.T) {
 	Convey("A duplicate instance name is reported at its second occurrence", t, func() {
 		service := func(name string) string {
--- a/configservice/doc.go
+++ b/configservice/doc.go
@@ -1,5 +1,5 @@
-// Package configservice simulates the deployment platform: a rate-limited
-// configuration service with reads and long-poll watches, and a delayed list
-// of leaving VMs. The service can be switched to be down or to return stale
+// Package configservice simulates the configuration service: it serves
+// rate-limited reads and long-poll watches of the configuration and of a
+// delayed list of leaving VMs. It can be switched to be down or to return stale
 // configurations.
 package configservice
--- a/settings/optional_test.go
+++ b/settings/optional_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// policies is an optional section.
+// policies is the section that the test reads.
 type policies struct {
 	Thresholds bool `ini:"thresholds"`
 	Vouch      bool `ini:"vouch"`
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -25,7 +25,8 @@
 		Target   string       `ini:"target"`   // base URL of the local target
 		Platform string       `ini:"platform"` // base URL of the configuration service
 		// Seeds are HTTP addresses of other nodes, from which this node fetches
-		// its first configuration while the platform is unreachable.
+		// its first configuration while the configuration service is
+		// unreachable.
 		Seeds     []string      `ini:"seeds"`
 		ClockSkew time.Duration `ini:"clock_skew"` // maximum skew between clocks of callers and nodes; default 1s
 		Timeline  string        `ini:"timeline"`   // timeline file; empty for standard error
@@ -35,8 +36,8 @@
 	Target struct {
 		Service  string `ini:"service"`
 		HTTP     string `ini:"http"`
-		Node     string `ini:"node"` // base URL of the local node, for calls to dependencies
-		Platform string `ini:"platform"`
+		Node     string `ini:"node"`     // base URL of the local node, for calls to dependencies
+		Platform string `ini:"platform"` // base URL of the configuration service
 		// ColdStart is the warm-up period, in which requests take three times
 		// as long. HealthLag is the maximum age of a health endpoint response.
 		ColdStart time.Duration `ini:"cold_start"`
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// rejectUnknownKeys rejects keys that v has no field for, so that a misspelled key
-// does not silently leave its default in effect.
+// rejectUnknownKeys rejects keys that v has no field for, so that a misspelled
+// key does not silently leave its default in effect.
 func rejectUnknownKeys(s *ini.Section, v any) error {
 	known := map[string]bool{}
 	t := reflect.TypeOf(v).Elem()
--- a/settings/sidecar.go
+++ b/settings/sidecar.go
@@ -13,8 +13,8 @@
 	// SIGTERM and SIGKILL.
 	defaultShutdownGrace = 6 * time.Second
 	defaultRetryWindow   = 10 * time.Second
-	// defaultRetryRatio is a quarter of the allowed 0.2 of all requests,
-	// because retries at up to four call levels add up.
+	// defaultRetryRatio keeps retries within 0.2 of all requests when they add
+	// up over four call levels.
 	defaultRetryRatio = 0.05
 	defaultMinRetries = 2
 )
--- a/timeline/logging.go
+++ b/timeline/logging.go
@@ -12,17 +12,18 @@
 
 const (
 	// DefaultLinesPerSecond is the default limit on lines per second and event
-	// name. Under overload every request causes an event.
+	// name. It bounds the output under overload, when every request causes an
+	// event.
 	DefaultLinesPerSecond = 40
-	// queueSize is the number of lines buffered for a slow reader.
+	// queueSize is the number of lines buffered for a slow writer.
 	queueSize = 1024
-	// flushTimeout bounds how long Close waits for a slow reader.
+	// flushTimeout bounds how long Close waits for a slow writer.
 	flushTimeout = 200 * time.Millisecond
 )
 
 type (
 	// AsyncHandler is a log handler that writes JSON lines on a separate
-	// goroutine. If the reader is slow it drops and counts lines instead of
+	// goroutine. If the writer is slow, it drops and counts lines instead of
 	// blocking. It is safe for concurrent use.
 	AsyncHandler struct {
 		lines   chan *log.Entry
--- a/timeline/logging_test.go
+++ b/timeline/logging_test.go
@@ -20,10 +20,10 @@
 	buf bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(p)
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(p)
 }
 
 // A blocked writer must not block logging: lines beyond the queue are dropped
@@ -32,17 +32,17 @@
 	Convey("Logging does not block, drops are counted and queued lines are written", t, func() {
 		w := &blockedWriter{}
 		w.mu.Lock()
-		a := NewAsyncHandler(w)
-		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
-		began := time.Now()
+		h := NewAsyncHandler(w)
+		l := (&log.Logger{Handler: h, Level: log.InfoLevel})
+		start := time.Now()
 		for range 3 * queueSize {
 			l.Info("line")
 		}
-		So(time.Since(began), ShouldBeLessThan, time.Second)
-		So(a.Dropped(), ShouldBeBetweenOrEqual, 2*queueSize-1, 2*queueSize)
+		So(time.Since(start), ShouldBeLessThan, time.Second)
+		So(h.Dropped(), ShouldBeBetweenOrEqual, 2*queueSize-1, 2*queueSize)
 		w.mu.Unlock()
-		So(a.Close(), ShouldBeNil)
-		So(strings.Count(w.buf.String(), "\n"), ShouldEqual, 3*queueSize-int(a.Dropped()))
+		So(h.Close(), ShouldBeNil)
+		So(strings.Count(w.buf.String(), "\n"), ShouldEqual, 3*queueSize-int(h.Dropped()))
 	})
 }
 
@@ -51,14 +51,14 @@
 	Convey("Close gives up after flushTimeout, also with a full queue", t, func() {
 		r, w := io.Pipe()
 		defer r.Close()
-		a := NewAsyncHandler(w)
-		l := (&log.Logger{Handler: a, Level: log.InfoLevel})
+		h := NewAsyncHandler(w)
+		l := (&log.Logger{Handler: h, Level: log.InfoLevel})
 		for range 2 * queueSize {
 			l.Info("line")
 		}
-		began := time.Now()
-		a.Close()
-		So(time.Since(began), ShouldBeLessThan, 5*flushTimeout)
+		start := time.Now()
+		h.Close()
+		So(time.Since(start), ShouldBeLessThan, 5*flushTimeout)
 	})
 }
 
@@ -68,19 +68,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("Lines over the limit are suppressed and counted per event name", t, func() {
 			lines := memory.New()
-			d := NewLimitedLogger(&log.Logger{Handler: lines, Level: log.InfoLevel}, DefaultLinesPerSecond)
+			limited := NewLimitedLogger(&log.Logger{Handler: lines, Level: log.InfoLevel}, DefaultLinesPerSecond)
 			built := 0
-			note := func(kind string) {
-				d.Log(kind, func() log.Fields { built++; return log.Fields{"id": "x"} })
+			logEvent := func(name string) {
+				limited.Log(name, func() log.Fields { built++; return log.Fields{"id": "x"} })
 			}
 			for range 1000 {
-				note("refused")
+				logEvent("refused")
 			}
-			note("ended")
+			logEvent("ended")
 			So(len(lines.Entries), ShouldEqual, DefaultLinesPerSecond+1)
 			So(built, ShouldEqual, DefaultLinesPerSecond+1)
 			time.Sleep(time.Second)
-			note("refused")
+			logEvent("refused")
 			last := lines.Entries[len(lines.Entries)-1]
 			So(last.Message, ShouldEqual, "refused")
 			So(last.Fields["left_out"], ShouldEqual, 1000-DefaultLinesPerSecond)
@@ -91,10 +91,10 @@
 // BenchmarkLimitedLogger measures logging with nearly all events over the
 // limit.
 func BenchmarkLimitedLogger(b *testing.B) {
-	a := NewAsyncHandler(io.Discard)
-	d := NewLimitedLogger(&log.Logger{Handler: a, Level: log.InfoLevel}, DefaultLinesPerSecond)
+	h := NewAsyncHandler(io.Discard)
+	limited := NewLimitedLogger(&log.Logger{Handler: h, Level: log.InfoLevel}, DefaultLinesPerSecond)
 	b.ReportAllocs()
 	for b.Loop() {
-		d.Log("kind", func() log.Fields { return log.Fields{"id": "x", "why": "y"} })
+		limited.Log("kind", func() log.Fields { return log.Fields{"id": "x", "why": "y"} })
 	}
 }
