--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -14,7 +14,8 @@
 )
 
 // deployments are the example configurations that the demo runs, with the
-// operations that callers send and the address of the simulated platform.
+// operations that callers call and the address of the simulated configuration
+// service.
 var deployments = []struct {
 	name       string
 	text       []byte
--- a/cmd/oatpin/main.go
+++ b/cmd/oatpin/main.go
@@ -1,6 +1,7 @@
 // Command oatpin runs one role of the overload control layer: a node or
-// sidecar, a simulated platform or target, the load generator, the demo or the
-// slowdown experiment. It also checks configurations and merges timelines.
+// sidecar, a simulated configuration service or target, the load generator, the
+// demo or the slowdown experiment. It also checks configurations and merges
+// timelines.
 package main
 
 import (
--- a/cmd/oatpin/process_test.go
+++ b/cmd/oatpin/process_test.go
@@ -28,7 +28,7 @@
 	dir   string
 	procs map[string]*exec.Cmd
 
-	platform string // host:port of the platform, set by startPair
+	platform string // host:port of the configuration service, set by startPair
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -48,7 +48,8 @@
 	return cl
 }
 
-// start runs one role with the given settings and waits until it listens on addr.
+// start runs one role with the given settings and waits until it listens on
+// addr.
 func (cl *cluster) start(name, role, settings, addr string) *exec.Cmd {
 	path := filepath.Join(cl.dir, name+".ini")
 	if err := os.WriteFile(path, []byte(settings), 0o644); err != nil {
@@ -124,10 +125,10 @@
 // pairNode has the name, service and ports of one node and its target.
 type pairNode struct{ name, service, http, peer, target string }
 
-// startPair starts the platform and, for the services freigabe and archiv, a
-// node and a target each. It waits until an approval, which freigabe forwards
-// to archiv, succeeds, and returns both nodes and the base URL of freigabe's
-// operations.
+// startPair starts the configuration service and, for the services freigabe and
+// archiv, a node and a target each. It waits until an approval, which freigabe
+// forwards to archiv, succeeds, and returns both nodes and the base URL of
+// freigabe's operations.
 func (cl *cluster) startPair() (freigabe, archiv pairNode, entry string) {
 	p := freePorts(cl.t, 7)
 	text, err := os.ReadFile("testdata/pair.ini")
@@ -160,7 +161,8 @@
 	return
 }
 
-// startNode starts the node of n.
+// startNode starts the node process of n, which fetches its configuration from
+// the configuration service at platform (host:port).
 func (cl *cluster) startNode(n pairNode, platform string) {
 	cl.start(n.name, "node", fmt.Sprintf("[node]\ninstance = %s\ndc = halle-nord\nhttp = 127.0.0.1:%s\npeer = 127.0.0.1:%s\ntarget = http://127.0.0.1:%s\nplatform = http://%s\ntimeline = %s\n",
 		n.name, n.http, n.peer, n.target, platform, cl.timeline(n.name)), "127.0.0.1:"+n.http)
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -123,9 +123,9 @@
 	})
 }
 
-// runUntilSignal runs serve until it fails or until SIGTERM or SIGINT, then
-// returns after stop has returned. It must not return with serve, which returns
-// as soon as stop begins, while stop still waits for requests in progress.
+// runUntilSignal runs serve until it fails or until SIGTERM or SIGINT. After a
+// signal it returns only once stop has returned: serve returns as soon as stop
+// begins, while stop still waits for requests in progress.
 func runUntilSignal(serve func() error, stop func(context.Context)) error {
 	sig := make(chan os.Signal, 1)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
@@ -142,7 +142,8 @@
 	return nil
 }
 
-// fetchConfig fetches the current configuration from the platform at base.
+// fetchConfig fetches the current configuration from the configuration service
+// at base, its base URL.
 func fetchConfig(base string) (*callgraph.Graph, error) {
 	resp, err := http.Get(base + "/v1/config")
 	if err != nil {
--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -18,7 +18,7 @@
 )
 
 // bodyMemoryDivisor limits request bodies to a fraction of the process's
-// memory, because each body is copied once or twice on its way.
+// memory, because each body is copied once or twice while it is forwarded.
 const bodyMemoryDivisor = 8
 
 var sidecarCommand = &cli.Command{
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -22,14 +22,15 @@
 	// Config configures a Mesh.
 	Config struct {
 		InitialConfig []byte // configuration of the deployment, in INI format
-		Platform      string // host:port to listen on for the simulated platform; port 0 for any
+		Platform      string // host:port to listen on for the configuration service; port 0 for any
 		// AnyPort replaces the configured addresses of every instance by free
 		// loopback ports, so that several meshes can run at the same time.
 		AnyPort bool
 		// Dial opens connections from one instance's node to other nodes; nil
 		// for TCP. Tests use it to inject network failures.
 		Dial func(ctx context.Context, from callgraph.Instance, addr string) (net.Conn, error)
-		// Baseline sets node.Config.Baseline for every node.
+		// Baseline disables the overload control of every node, for comparison;
+		// see node.Config.Baseline.
 		Baseline bool
 		Log      log.Interface
 	}
@@ -40,15 +41,16 @@
 		Platform *configservice.Server
 		Nodes    map[string]*node.Node
 		Targets  map[string]*target.Target
-		// PlatformURL is the base URL of the simulated platform.
+		// PlatformURL is the base URL of the simulated configuration service.
 		PlatformURL string
 		servers     []*http.Server
 		targetURLs  map[string]string
 	}
 )
 
-// Start starts the platform and every target and node of cfg.InitialConfig, and
-// waits until all nodes are ready. On an error, it stops what it has started.
+// Start starts the configuration service and every target and node of
+// cfg.InitialConfig, and waits until all nodes are ready. On an error, it stops
+// what it has started.
 func Start(cfg Config) (*Mesh, error) {
 	if cfg.Log == nil {
 		cfg.Log = log.Log
@@ -199,7 +201,8 @@
 // empty string if there is no such instance.
 func (m *Mesh) TargetURL(instance string) string { return m.targetURLs[instance] }
 
-// Stop shuts down all nodes gracefully, then the targets and the platform.
+// Stop shuts down all nodes gracefully, then the targets and the configuration
+// service.
 func (m *Mesh) Stop(ctx context.Context) {
 	done := make(chan struct{}, len(m.Nodes))
 	for _, n := range m.Nodes {
--- a/demo/slowdown.go
+++ b/demo/slowdown.go
@@ -29,7 +29,7 @@
 type SlowdownResult struct {
 	Report   *load.Report  // covers the run from the start of WarmUp
 	Arrivals int64         // calls received by all targets, including retries
-	Recovery time.Duration // from the end of the slowdown until goodput reaches 90% of the baseline; -1 if never
+	Recovery time.Duration // from the end of the slowdown until goodput is at 90% of that before it; -1 if never
 }
 
 // Run starts a mesh on free ports, runs the experiment once and stops the mesh.
--- a/load/load.go
+++ b/load/load.go
@@ -113,8 +113,8 @@
 }
 
 // send makes one request and retries it without backoff on NotRun and Unknown.
-// Each try goes to a random instance with the same request ID and idempotency
-// key.
+// Each attempt goes to a random instance with the same request ID and
+// idempotency key.
 func send(ctx context.Context, client *http.Client, cfg Config, ref callgraph.Ref, id string, counts *ClassCounts) call.Status {
 	var status call.Status
 	instances := cfg.Graph.Services[ref.Service].Instances
@@ -180,21 +180,21 @@
 	return time.Duration(r.Latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// RecoveryTime returns the time from overloadEnd, in seconds since the start
-// of the run, until the per-second goodput reaches 90% of the baseline, or -1 if
-// it never does. The baseline is the mean from second 1, to leave out the
-// ramp-up in second 0, up to but not including second baselineEnd.
-func (r *Report) RecoveryTime(baselineEnd, overloadEnd int) time.Duration {
-	if baselineEnd <= 1 || overloadEnd >= len(r.CompletedPerSecond) {
+// RecoveryTime returns the time from overloadEnd until the per-second goodput
+// reaches 90% of its mean before overloadStart, or -1 if it never does. Both
+// arguments are in seconds since the start of the run. The mean leaves out the
+// ramp-up in second 0.
+func (r *Report) RecoveryTime(overloadStart, overloadEnd int) time.Duration {
+	if overloadStart <= 1 || overloadEnd >= len(r.CompletedPerSecond) {
 		return -1
 	}
 	var sum int64
-	for _, completed := range r.CompletedPerSecond[1:baselineEnd] {
+	for _, completed := range r.CompletedPerSecond[1:overloadStart] {
 		sum += completed
 	}
-	baseline := float64(sum) / float64(baselineEnd-1)
+	meanBefore := float64(sum) / float64(overloadStart-1)
 	for s := overloadEnd; s < len(r.CompletedPerSecond)-1; s++ {
-		if float64(r.CompletedPerSecond[s]) >= 0.9*baseline {
+		if float64(r.CompletedPerSecond[s]) >= 0.9*meanBefore {
 			return time.Duration(s-overloadEnd) * time.Second
 		}
 	}
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -92,7 +92,8 @@
 	return c
 }
 
-// run sends requests to one node until the callers are stopped, with keep-alive.
+// run sends requests to one node over a keep-alive connection until the callers
+// are stopped.
 func (c *callers) run(v *vm, r *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}, Timeout: requestTimeout}
 	for c.ctx.Err() == nil {
@@ -244,9 +245,9 @@
 	case isNotRun(o.status) && runs > 0:
 		return "refused as not run but executed"
 	case o.status >= 400 && o.status < 500 && !isNotRun(o.status):
-		return "valid request denied"
+		return "valid request answered with a client error"
 	case o.err != nil && runs > 0 && !o.vm.disruptions.overlaps(o.sent, o.done) && !isDialError(o.err):
-		return "connection lost without an unplanned fault"
+		return "connection lost although the node was not killed or paused"
 	}
 	return ""
 }
--- a/soak/deployment_test.go
+++ b/soak/deployment_test.go
@@ -51,7 +51,7 @@
 
 	// vm is a node process with its target and the proxies on its links.
 	vm struct {
-		n               int
+		n               int // number of the node, from 1
 		service         string
 		dc              callgraph.DC
 		faultMu         sync.Mutex // held while a fault affects the process or target
@@ -101,9 +101,9 @@
 	return d
 }
 
-// addr returns an address on one of the loopback networks: 0 for the store, 1 for
-// the advertised addresses of nodes and targets, 2 for the listeners of the nodes,
-// 3 for the proxies to the store.
+// addr returns an address on one of the loopback networks: 0 for the store, 1
+// for the advertised addresses of nodes and targets, 2 for the listeners of the
+// nodes, 3 for the proxies to the store.
 func addr(network, n, port int) string {
 	return fmt.Sprintf("127.0.%d.%d:%d", 40+network, n+1, port)
 }
@@ -225,8 +225,8 @@
 	return n
 }
 
-// waitNode waits for the process of a node to exit. After the timeout, it records
-// the node as late and kills the process.
+// waitNode waits for the process of a node to exit. After the timeout, it
+// records the node as late and kills the process.
 func (d *deployment) waitNode(v *vm, timeout time.Duration) {
 	done := make(chan struct{})
 	go func() { v.cmd.Wait(); close(done) }()
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -15,11 +15,11 @@
 
 // faults are drawn with equal probability; an entry listed twice counts twice.
 var faults = []fault{restartNode, killNode, pauseNode, sendSIGHUP, replaceInstance, drainInstance,
-	disruptPeers, disruptPeers, disruptStore, resetConnections, forgetHistory, publishRoutes,
+	disruptPeers, disruptPeers, disruptStore, resetConnections, compactStore, publishRoutes,
 	removeLiveEntry, removeLiveEntry, removeWithoutDrain, restartTarget, writeForeignEntries}
 
-// injectFaults injects random faults for a period, also concurrent ones, and waits
-// until the last one is over.
+// injectFaults injects random faults for a period, some of them concurrently,
+// and waits until the last one is over.
 func (d *deployment) injectFaults(seed uint64, period time.Duration) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var wg sync.WaitGroup
@@ -112,7 +112,8 @@
 }
 
 // removeWithoutDrain removes the entry of an instance without marking it as
-// leaving before. The instance serves on for at least 2 s and is replaced.
+// leaving before. The instance serves requests for at least 2 s more and is then
+// replaced.
 func removeWithoutDrain(d *deployment, v *vm, r *rand.Rand) {
 	v.faultMu.Lock()
 	defer v.faultMu.Unlock()
@@ -159,5 +160,5 @@
 	v.storeProxy.Reset()
 }
 
-func forgetHistory(d *deployment, _ *vm, _ *rand.Rand) { d.store.Compact() }
+func compactStore(d *deployment, _ *vm, _ *rand.Rand)  { d.store.Compact() }
 func publishRoutes(d *deployment, _ *vm, _ *rand.Rand) { d.publishRoutes() }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// slowDelay is a few round trips between data centres: long enough to come
-	// near the timeouts, too short to exceed them.
+	// slowDelay is the delay of each chunk in mode Slow: a few round trips
+	// between data centres, too short to cause timeouts.
 	slowDelay = 30 * time.Millisecond
 	// chunkBytes is the size of the copy buffer.
 	chunkBytes = 16 << 10
@@ -49,8 +49,8 @@
 	// connPair holds both sides of a connection through a Proxy.
 	connPair struct {
 		client, server net.Conn
-		// dropped is set for a direction for good once data of it was dropped:
-		// forwarding later data would corrupt the stream.
+		// dropped is set for a direction once data in it was dropped, and never
+		// reset, because forwarding later data would corrupt the stream.
 		dropped [2]atomic.Bool
 	}
 )
@@ -158,8 +158,8 @@
 	}
 }
 
-// closeAfter closes nc after its peer has closed. After a clean EOF it closes only
-// the write side, so that data in the other direction still arrives.
+// closeAfter closes nc after the other side has closed. After a clean EOF it
+// closes only the write side, so that data in the other direction still arrives.
 func closeAfter(nc net.Conn, clean bool) {
 	if tc, ok := nc.(*net.TCPConn); ok && clean {
 		tc.CloseWrite()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -39,7 +39,7 @@
 // Guards against duplicate execution of non-idempotent requests, execution of
 // refused ones, wrong or truncated responses, connections lost in planned stops
 // and a failure to recover after concurrent faults. Also guards against a poison
-// request that goes on to crash instances after the first three.
+// request that keeps crashing instances.
 func TestInvariantsUnderFaults(t *testing.T) {
 	bin := buildBinary(t)
 	seeds := append([]uint64{}, regressionSeeds...)
@@ -54,12 +54,12 @@
 			d.waitServing(10 * time.Second)
 			d.injectFaults(seed, *durationFlag)
 			time.Sleep(recoveryTime)
-			servedRatio := d.successRate(observationTime)
+			successRate := d.successRate(observationTime)
 			furtherCrashes := d.sendPoisonAfterRecovery()
 			d.stopCallers()
 			d.restarts.Wait()
 			So(d.violations(), ShouldBeEmpty)
-			So(servedRatio, ShouldBeGreaterThan, minSuccessRate)
+			So(successRate, ShouldBeGreaterThan, minSuccessRate)
 			So(furtherCrashes, ShouldBeLessThanOrEqualTo, maxFurtherCrashes)
 			t.Logf("seed %d: %s; %d targets crashed by the poison request, %d of them after recovery", seed, d.statusCounts(), d.crashCount(), furtherCrashes)
 		})
--- a/soak/target.go
+++ b/soak/target.go
@@ -126,6 +126,6 @@
 	io.WriteString(w, responseBody(id, string(body)))
 }
 
-// responseBody returns the body of the response to a request. The
-// padding makes it long enough to be transferred in several parts.
+// responseBody returns the body of the response to a request. The padding makes
+// it long enough to be transferred in several parts.
 func responseBody(id, body string) string { return id + " " + body + strings.Repeat(".", 2000) }
--- a/target/target.go
+++ b/target/target.go
@@ -50,7 +50,7 @@
 		arrivals        atomic.Int64
 
 		mu      sync.Mutex
-		commits map[call.Key]int // number of commits of each non-idempotent action
+		commits map[call.Key]int // number of commits of each non-idempotent call
 	}
 )
 
@@ -122,8 +122,8 @@
 // Arrivals returns the number of calls received, including refused ones.
 func (t *Target) Arrivals() int64 { return t.arrivals.Load() }
 
-// CommitCounts returns the number of commits of each non-idempotent action, by
-// idempotency key. An action committed more than once has been duplicated.
+// CommitCounts returns the number of commits of each non-idempotent call, by
+// idempotency key. A call with more than one commit has run more than once.
 func (t *Target) CommitCounts() map[call.Key]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,8 +180,8 @@
 
 // run executes the operation: it calls the dependencies in order, waits for the
 // service time and commits. It returns NotRun, with the Retry-After value of the
-// dependency, only if the first dependency refused the call, as nothing has run
-// then.
+// dependency, only if the first dependency refused the call, because nothing
+// has run then.
 func (t *Target) run(ctx context.Context, header http.Header, r call.Request, op *callgraph.Operation) ([]byte, call.Status, string) {
 	for t.paused.Load() {
 		time.Sleep(10 * time.Millisecond)
