--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -14,13 +14,13 @@
 )
 
 // deployments are the example configurations that the demo runs, with the
-// operations that callers call and the address of the simulated configuration
-// service.
+// listen address of the simulated configuration service and the operations that
+// the load generator calls.
 var deployments = []struct {
-	name       string
-	text       []byte
-	platform   string
-	operations []callgraph.Ref
+	name              string
+	text              []byte
+	configServiceAddr string
+	operations        []callgraph.Ref
 }{
 	{"kessler-raab", examples.KesslerRaab, "127.0.0.1:17000", []callgraph.Ref{
 		{Service: "entwurf", Operation: "publish"}, {Service: "entwurf", Operation: "read_draft"},
@@ -48,7 +48,7 @@
 		}
 		defer closer.Close()
 		for _, d := range deployments {
-			m, err := demo.Start(demo.Config{InitialConfig: d.text, Platform: d.platform, AnyPort: c.Bool("any-port"), Log: lg})
+			m, err := demo.Start(demo.Config{InitialConfig: d.text, Platform: d.configServiceAddr, AnyPort: c.Bool("any-port"), Log: lg})
 			if err != nil {
 				return err
 			}
--- a/cmd/oatpin/main.go
+++ b/cmd/oatpin/main.go
@@ -21,7 +21,7 @@
 			nodeCommand,
 			sidecarCommand,
 			targetCommand,
-			platformCommand,
+			configServiceCommand,
 			loadCommand,
 			timelineCommand,
 			experimentCommand,
--- a/cmd/oatpin/process_test.go
+++ b/cmd/oatpin/process_test.go
@@ -28,7 +28,7 @@
 	dir   string
 	procs map[string]*exec.Cmd
 
-	platform string // host:port of the configuration service, set by startPair
+	configServiceAddr string // host:port of the configuration service, set by startPair
 }
 
 func newCluster(t *testing.T) *cluster {
@@ -139,15 +139,15 @@
 		"PORT_B_HTTP", fmt.Sprint(p[2]), "PORT_B_PEER", fmt.Sprint(p[3])).Replace(string(text))
 	cfgPath := filepath.Join(cl.dir, "text.ini")
 	os.WriteFile(cfgPath, []byte(cfg), 0o644)
-	platform := fmt.Sprintf("127.0.0.1:%d", p[4])
-	cl.platform = platform
-	cl.start("platform", "platform", fmt.Sprintf("[platform]\nhttp = %s\nconfig = %s\ntimeline = %s\n", platform, cfgPath, cl.timeline("platform")), platform)
+	configServiceAddr := fmt.Sprintf("127.0.0.1:%d", p[4])
+	cl.configServiceAddr = configServiceAddr
+	cl.start("platform", "platform", fmt.Sprintf("[platform]\nhttp = %s\nconfig = %s\ntimeline = %s\n", configServiceAddr, cfgPath, cl.timeline("platform")), configServiceAddr)
 	freigabe = pairNode{"freigabe-1", "freigabe", fmt.Sprint(p[0]), fmt.Sprint(p[1]), fmt.Sprint(p[5])}
 	archiv = pairNode{"archiv-1", "archiv", fmt.Sprint(p[2]), fmt.Sprint(p[3]), fmt.Sprint(p[6])}
 	for _, n := range []pairNode{freigabe, archiv} {
-		cl.startNode(n, platform)
+		cl.startNode(n, configServiceAddr)
 		cl.start(n.name+"-target", "target", fmt.Sprintf("[target]\nservice = %s\nhttp = 127.0.0.1:%s\nnode = http://127.0.0.1:%s\nplatform = http://%s\n",
-			n.service, n.target, n.http, platform), "127.0.0.1:"+n.target)
+			n.service, n.target, n.http, configServiceAddr), "127.0.0.1:"+n.target)
 	}
 	entry = "http://127.0.0.1:" + freigabe.http + "/v1/call/freigabe/"
 	for range 50 { // until the nodes have fetched the configuration
@@ -162,10 +162,10 @@
 }
 
 // startNode starts the node process of n, which fetches its configuration from
-// the configuration service at platform (host:port).
-func (cl *cluster) startNode(n pairNode, platform string) {
+// configServiceAddr.
+func (cl *cluster) startNode(n pairNode, configServiceAddr string) {
 	cl.start(n.name, "node", fmt.Sprintf("[node]\ninstance = %s\ndc = halle-nord\nhttp = 127.0.0.1:%s\npeer = 127.0.0.1:%s\ntarget = http://127.0.0.1:%s\nplatform = http://%s\ntimeline = %s\n",
-		n.name, n.http, n.peer, n.target, platform, cl.timeline(n.name)), "127.0.0.1:"+n.http)
+		n.name, n.http, n.peer, n.target, configServiceAddr, cl.timeline(n.name)), "127.0.0.1:"+n.http)
 }
 
 // postAsync posts to url in the background and sends the status code, 0 for an
@@ -286,7 +286,7 @@
 		So(store(key, "5000"), ShouldEqual, string(call.OK))
 		cl.procs["archiv-1"].Process.Kill()
 		cl.procs["archiv-1"].Wait()
-		cl.startNode(archiv, cl.platform)
+		cl.startNode(archiv, cl.configServiceAddr)
 		So(cl.waitStatus("http://127.0.0.1:"+archiv.http+"/readyz", http.StatusOK), ShouldBeTrue)
 		time.Sleep(time.Second) // archiv-1 is skipped for 1 s after a failed dial
 		So(store(key, "5000"), ShouldEqual, string(call.Unknown))
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -79,7 +79,7 @@
 	},
 }
 
-var platformCommand = &cli.Command{
+var configServiceCommand = &cli.Command{
 	Name:  "platform",
 	Usage: "run the stand-in configuration service and VM list",
 	Flags: []cli.Flag{settingsFlag},
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -67,9 +67,9 @@
 	m := &Mesh{Graph: g, Nodes: map[string]*node.Node{}, Targets: map[string]*target.Target{}, targetURLs: map[string]string{}}
 	m.Platform, err = configservice.New(configservice.Config{InitialConfig: text, Log: cfg.Log.WithField("process", "platform")})
 	if err == nil {
-		var platformAddr string
-		platformAddr, err = m.listenAndServe(cfg.Platform, m.Platform.Handler())
-		m.PlatformURL = "http://" + platformAddr
+		var configServiceAddr string
+		configServiceAddr, err = m.listenAndServe(cfg.Platform, m.Platform.Handler())
+		m.PlatformURL = "http://" + configServiceAddr
 	}
 	if err != nil {
 		closeListeners(listeners)
--- a/target/target.go
+++ b/target/target.go
@@ -42,12 +42,12 @@
 		started time.Time
 		client  *http.Client
 
-		slowdownPercent atomic.Int64 // service time, percent of normal
-		paused          atomic.Bool
-		draining        atomic.Bool
-		refusing        atomic.Bool
-		inflight        atomic.Int64
-		arrivals        atomic.Int64
+		serviceTimePercent atomic.Int64 // percentage of the configured service time
+		paused             atomic.Bool
+		draining           atomic.Bool
+		refusing           atomic.Bool
+		inflight           atomic.Int64
+		arrivals           atomic.Int64
 
 		mu      sync.Mutex
 		commits map[call.Key]int // number of commits of each non-idempotent call
@@ -62,7 +62,7 @@
 		t.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
 	t.health.ttl = cfg.HealthLag
-	t.slowdownPercent.Store(100)
+	t.serviceTimePercent.Store(100)
 	return t
 }
 
@@ -100,7 +100,7 @@
 	if factor <= 0 {
 		factor = 1
 	}
-	t.slowdownPercent.Store(int64(factor * 100))
+	t.serviceTimePercent.Store(int64(factor * 100))
 }
 
 // Drain makes the target refuse every new call as not run, with a Retry-After of
@@ -198,7 +198,7 @@
 		}
 		out.WriteString(" <" + string(body) + ">")
 	}
-	serviceTime := time.Duration(float64(op.ServiceTime) * float64(t.slowdownPercent.Load()) / 100)
+	serviceTime := time.Duration(float64(op.ServiceTime) * float64(t.serviceTimePercent.Load()) / 100)
 	if time.Since(t.started) < t.cfg.ColdStart {
 		serviceTime *= 3
 	}
