--- a/target/target.go
+++ b/target/target.go
@@ -42,15 +42,15 @@
 		started time.Time
 		client  *http.Client
 
-		slowdownPercent atomic.Int64 // service time, percent of normal
-		paused          atomic.Bool
-		draining        atomic.Bool
-		refusing        atomic.Bool
-		inflight        atomic.Int64
-		arrivals        atomic.Int64
+		serviceTimePercent atomic.Int64 // percentage of the configured service time
+		paused             atomic.Bool
+		draining           atomic.Bool
+		refusing           atomic.Bool
+		inflight           atomic.Int64
+		arrivals           atomic.Int64
 
 		mu      sync.Mutex
-		commits map[call.Key]int // number of commits of each non-idempotent action
+		commits map[call.Key]int // number of commits of each non-idempotent call
 	}
 )
 
@@ -62,7 +62,7 @@
 		t.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	}
 	t.health.ttl = cfg.HealthLag
-	t.slowdownPercent.Store(100)
+	t.serviceTimePercent.Store(100)
 	return t
 }
 
@@ -100,7 +100,7 @@
 	if factor <= 0 {
 		factor = 1
 	}
-	t.slowdownPercent.Store(int64(factor * 100))
+	t.serviceTimePercent.Store(int64(factor * 100))
 }
 
 // Drain makes the target refuse every new call as not run, with a Retry-After of
@@ -122,8 +122,8 @@
 // Arrivals returns the number of calls received, including refused ones.
 func (t *Target) Arrivals() int64 { return t.arrivals.Load() }
 
-// CommitCounts returns the number of commits of each non-idempotent action, by
-// idempotency key. An action committed more than once has been duplicated.
+// CommitCounts returns the number of commits of each non-idempotent call, by
+// idempotency key. A call with more than one commit has run more than once.
 func (t *Target) CommitCounts() map[call.Key]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,8 +180,8 @@
 
 // run executes the operation: it calls the dependencies in order, waits for the
 // service time and commits. It returns NotRun, with the Retry-After value of the
-// dependency, only if the first dependency refused the call, as nothing has run
-// then.
+// dependency, only if the first dependency refused the call, because nothing
+// has run then.
 func (t *Target) run(ctx context.Context, header http.Header, r call.Request, op *callgraph.Operation) ([]byte, call.Status, string) {
 	for t.paused.Load() {
 		time.Sleep(10 * time.Millisecond)
@@ -198,7 +198,7 @@
 		}
 		out.WriteString(" <" + string(body) + ">")
 	}
-	serviceTime := time.Duration(float64(op.ServiceTime) * float64(t.slowdownPercent.Load()) / 100)
+	serviceTime := time.Duration(float64(op.ServiceTime) * float64(t.serviceTimePercent.Load()) / 100)
 	if time.Since(t.started) < t.cfg.ColdStart {
 		serviceTime *= 3
 	}
