--- a/call/decode.go
+++ b/call/decode.go
@@ -29,12 +29,12 @@
 		return d.Decode((*namedAnswer)(a))
 	}
 	return message.DecodeArray(d, (*string)(&a.ID), (*string)(&a.Status), &a.Reason, &a.RetryAfter, &a.RetriesUsed, &a.Leaving,
-		&a.Declined, &a.Body, &a.HTTP, &a.ReachedTarget, &a.Load, &a.InstanceEnd, &a.NoRetry, &a.Piggyback)
+		&a.Declined, &a.Body, &a.HTTP, &a.ReachedTarget, &a.Load, &a.InstanceExit, &a.NoRetry, &a.Piggyback)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (e *InstanceEnd) DecodeMsgpack(d *msgpack.Decoder) error {
-	*e = InstanceEnd{}
+func (e *InstanceExit) DecodeMsgpack(d *msgpack.Decoder) error {
+	*e = InstanceExit{}
 	return message.DecodeArray(d, &e.ID, &e.Isolated)
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// BenchmarkEnd measures the cost of an instance end with a hundred requests in
+// BenchmarkExit measures the cost of an instance exit with a hundred requests in
 // progress, with a full Tracker, and the encoded size of its report.
-func BenchmarkEnd(b *testing.B) {
+func BenchmarkExit(b *testing.B) {
 	tracker := newFilledTracker(maxRecords)
 	fs := make([]Fingerprint, 100)
 	next := Fingerprint(1 << 40)
@@ -41,7 +41,7 @@
 		for i := range fs {
 			next++
 			fs[i] = next
-			tracker.RecordEnd(next, newEnd(EndID(next), "lego45a"))
+			tracker.RecordExit(next, newExit(ExitID(next), "lego45a"))
 		}
 		encoded, err := msgpack.Marshal(tracker.Records(fs))
 		if err != nil {
@@ -69,7 +69,7 @@
 func newFilledTracker(records int) *Tracker {
 	tracker := newTestTracker()
 	for i := range records {
-		tracker.RecordEnd(Fingerprint(i)<<20, newEnd(EndID(i/100+1), "lego45a"))
+		tracker.RecordExit(Fingerprint(i)<<20, newExit(ExitID(i/100+1), "lego45a"))
 	}
 	return tracker
 }
--- a/quarantine/compat_test.go
+++ b/quarantine/compat_test.go
@@ -12,7 +12,7 @@
 // wantReport has every field set. testdata/former/report.hex is its encoding by
 // the previous version.
 var wantReport = Report{Next: Cursor{Epoch: 1 << 60, Seq: 300}, Records: []Record{
-	{Fingerprint: 7, Ends: []End{{ID: 1, Caller: "a", Isolated: true}, {ID: 1 << 40, Caller: "b", Answered: true}}, AnsweredFor: []Caller{"b"}, Age: time.Second},
+	{Fingerprint: 7, Exits: []Exit{{ID: 1, Caller: "a", Isolated: true}, {ID: 1 << 40, Caller: "b", Answered: true}}, AnsweredFor: []Caller{"b"}, Age: time.Second},
 	{Fingerprint: 1 << 50},
 }}
 
@@ -40,8 +40,8 @@
 		tracker := newTestTracker()
 		for _, fp := range tracker.Merge(got) {
 			tracker.Stage(fp, "a")
-			if n := len(tracker.records[fp].Ends); n > maxEnds {
-				t.Fatalf("record holds %d ends, more than maxEnds", n)
+			if n := len(tracker.records[fp].Exits); n > maxExits {
+				t.Fatalf("record holds %d exits, more than maxExits", n)
 			}
 		}
 		if len(tracker.records) > maxRecords {
--- a/quarantine/decode.go
+++ b/quarantine/decode.go
@@ -20,11 +20,11 @@
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Record) DecodeMsgpack(d *msgpack.Decoder) error {
 	*r = Record{}
-	return message.DecodeArray(d, (*uint64)(&r.Fingerprint), (*message.List[End])(&r.Ends), (*message.List[Caller])(&r.AnsweredFor), &r.Age)
+	return message.DecodeArray(d, (*uint64)(&r.Fingerprint), (*message.List[Exit])(&r.Exits), (*message.List[Caller])(&r.AnsweredFor), &r.Age)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (e *End) DecodeMsgpack(d *msgpack.Decoder) error {
-	*e = End{}
+func (e *Exit) DecodeMsgpack(d *msgpack.Decoder) error {
+	*e = Exit{}
 	return message.DecodeArray(d, (*uint64)(&e.ID), (*string)(&e.Caller), &e.Isolated, &e.Answered)
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,7 +1,6 @@
 // Package quarantine protects a service's instances from requests that crash
 // every instance that runs them. Callers retry such a request through any node
 // and with a new ID, so requests are identified by a fingerprint of their
-// content. A Tracker counts the ends of instances that were running a request:
-// exits of the process with requests in progress, whatever their cause. Nodes
-// exchange what their Trackers contain.
+// content. A Tracker counts the exits of instances that were running a request,
+// whatever the cause. Nodes exchange what their Trackers contain.
 package quarantine
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -14,8 +14,8 @@
 	knowledge map[Fingerprint]*requestFacts
 
 	requestFacts struct {
-		ends     map[EndID]End
-		lastEnd  time.Time
+		exits    map[ExitID]Exit
+		lastExit time.Time
 		answered map[Caller]bool
 	}
 
@@ -25,7 +25,7 @@
 		trackers []*Tracker
 		cursors  [][]Cursor // by requesting and answering node
 		oracles  []knowledge
-		lastID   EndID
+		lastID   ExitID
 	}
 )
 
@@ -36,7 +36,7 @@
 
 func (k knowledge) factsFor(f Fingerprint) *requestFacts {
 	if k[f] == nil {
-		k[f] = &requestFacts{ends: map[EndID]End{}, answered: map[Caller]bool{}}
+		k[f] = &requestFacts{exits: map[ExitID]Exit{}, answered: map[Caller]bool{}}
 	}
 	return k[f]
 }
@@ -44,27 +44,27 @@
 func (k knowledge) merge(other knowledge) {
 	for f, x := range other {
 		own := k.factsFor(f)
-		for id, e := range x.ends {
-			had := own.ends[id]
+		for id, e := range x.exits {
+			had := own.exits[id]
 			e.Isolated, e.Answered = e.Isolated || had.Isolated, e.Answered || had.Answered
-			own.ends[id] = e
+			own.exits[id] = e
 		}
-		if x.lastEnd.After(own.lastEnd) {
-			own.lastEnd = x.lastEnd
+		if x.lastExit.After(own.lastExit) {
+			own.lastExit = x.lastExit
 		}
 		maps.Copy(own.answered, x.answered)
 	}
 }
 
-// attributed reports whether another request that ran at the end has also ended
-// an instance without this one.
-func (k knowledge) attributed(f Fingerprint, id EndID) bool {
+// attributed reports whether another request that ran at the exit has also
+// crashed an instance without this one.
+func (k knowledge) attributed(f Fingerprint, id ExitID) bool {
 	for otherRequest, otherFacts := range k {
-		if _, ok := otherFacts.ends[id]; !ok || otherRequest == f {
+		if _, ok := otherFacts.exits[id]; !ok || otherRequest == f {
 			continue
 		}
-		for otherID, e := range otherFacts.ends {
-			if own, ok := k.factsFor(f).ends[otherID]; e.Isolated && !e.Answered && (!ok || own.Answered) {
+		for otherID, e := range otherFacts.exits {
+			if own, ok := k.factsFor(f).exits[otherID]; e.Isolated && !e.Answered && (!ok || own.Answered) {
 				return true
 			}
 		}
@@ -72,22 +72,22 @@
 	return false
 }
 
-// hasUnrelatedEnds reports whether three or more instances ended without this
-// request and without one that ended an instance while isolated.
-func (k knowledge) hasUnrelatedEnds(f Fingerprint) bool {
-	unrelated := map[EndID]bool{}
+// hasUnrelatedExits reports whether three or more instances exited without this
+// request and without one that crashed an instance while isolated.
+func (k knowledge) hasUnrelatedExits(f Fingerprint) bool {
+	unrelated := map[ExitID]bool{}
 	for _, x := range k {
-		for id := range x.ends {
-			own, ok := k.factsFor(f).ends[id]
+		for id := range x.exits {
+			own, ok := k.factsFor(f).exits[id]
 			unrelated[id] = !ok || own.Answered
 		}
 	}
 	for _, x := range k {
 		crashed := false
-		for _, e := range x.ends {
+		for _, e := range x.exits {
 			crashed = crashed || (e.Isolated && !e.Answered)
 		}
-		for id := range x.ends {
+		for id := range x.exits {
 			unrelated[id] = unrelated[id] && !crashed
 		}
 	}
@@ -103,19 +103,19 @@
 // stage is an independent implementation of the rule in Record.stage.
 func (k knowledge) stage(f Fingerprint, c Caller) Stage {
 	x := k.factsFor(f)
-	n, ownEnds, conclusiveEnds := 0, 0, 0
+	n, ownExits, conclusiveExits := 0, 0, 0
 	callers := map[Caller]bool{}
-	for _, e := range x.ends {
+	for _, e := range x.exits {
 		if e.Answered || (x.answered[c] && e.Caller != c) {
 			continue
 		}
 		n++
 		callers[e.Caller] = true
 		if e.Caller == c {
-			ownEnds++
+			ownExits++
 		}
 		if e.Isolated && !k.attributed(f, e.ID) {
-			conclusiveEnds++
+			conclusiveExits++
 		}
 	}
 	switch {
@@ -123,9 +123,9 @@
 		return Free
 	case n == 1:
 		return Suspect
-	case n < 3 || conclusiveEnds == 0 || (conclusiveEnds == 1 && k.hasUnrelatedEnds(f)):
+	case n < 3 || conclusiveExits == 0 || (conclusiveExits == 1 && k.hasUnrelatedExits(f)):
 		return Isolated
-	case conclusiveEnds == 1 && ownEnds == 0 && len(callers) == 1 && time.Since(x.lastEnd) >= time.Minute:
+	case conclusiveExits == 1 && ownExits == 0 && len(callers) == 1 && time.Since(x.lastExit) >= time.Minute:
 		return Isolated
 	}
 	return Quarantined
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestNodesConverge compares Trackers with the oracle while nodes record ends
+// TestNodesConverge compares Trackers with the oracle while nodes record exits
 // and answers, exchange reports that are lost or duplicated, and restart
 // without state. Once every node has fetched from every other, all must agree.
 func TestNodesConverge(t *testing.T) {
@@ -179,35 +179,35 @@
 	caller := func() Caller { return Caller(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller")) }
 	t.Repeat(map[string]func(*rapid.T){
 		"end": func(t *rapid.T) {
-			if f.lastID >= maxEnds {
-				t.Skip("maxEnds reached")
+			if f.lastID >= maxExits {
+				t.Skip("maxExits reached")
 			}
 			f.lastID++
 			i := node()
 			for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 2), 1, 3, rapid.ID).Draw(t, "requests") {
 				fp := Fingerprint(n)
-				e := End{ID: f.lastID, Caller: caller(), Isolated: rapid.Bool().Draw(t, "alone")}
-				f.trackers[i].RecordEnd(fp, e)
+				e := Exit{ID: f.lastID, Caller: caller(), Isolated: rapid.Bool().Draw(t, "alone")}
+				f.trackers[i].RecordExit(fp, e)
 				x := f.oracles[i].factsFor(fp)
-				x.ends[e.ID], x.lastEnd = e, time.Now()
-				// Another node records the same end with less information.
+				x.exits[e.ID], x.lastExit = e, time.Now()
+				// Another node records the same exit with less information.
 				j := node()
 				e.Isolated = false
-				f.trackers[j].RecordEnd(fp, e)
-				f.oracles[j].merge(knowledge{fp: {ends: map[EndID]End{e.ID: e}, lastEnd: x.lastEnd}})
+				f.trackers[j].RecordExit(fp, e)
+				f.oracles[j].merge(knowledge{fp: {exits: map[ExitID]Exit{e.ID: e}, lastExit: x.lastExit}})
 			}
 		},
 		"answer": func(t *rapid.T) {
 			i, fp, c := node(), request(), caller()
 			f.trackers[i].RecordAnswer(fp, c)
-			if len(f.oracles[i].factsFor(fp).ends) == 0 && len(f.oracles[i].factsFor(fp).answered) == 0 {
+			if len(f.oracles[i].factsFor(fp).exits) == 0 && len(f.oracles[i].factsFor(fp).answered) == 0 {
 				return // not recorded
 			}
 			x := f.oracles[i].factsFor(fp)
 			x.answered[c] = true
-			for id, e := range x.ends {
+			for id, e := range x.exits {
 				e.Answered = e.Answered || e.Caller == c
-				x.ends[id] = e
+				x.exits[id] = e
 			}
 		},
 		"ask": func(t *rapid.T) {
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -23,32 +23,32 @@
 	retryDelay = 10 * time.Millisecond
 	// isolationTimeout bounds the wait for requests that exclude this one.
 	isolationTimeout = time.Second
-	// convergenceTime is how long after a request's third end every node must
-	// know of it. From then on, the request may end at most maxLateEnds
+	// convergenceTime is how long after a request's third exit every node must
+	// know of it. From then on, the request may crash at most maxLateExits
 	// instances.
 	convergenceTime = 3 * time.Second
-	maxLateEnds     = 3
+	maxLateExits    = 3
 )
 
 type (
 	// simulation runs a service's instances under mostly harmless requests,
-	// each with its own fingerprint, and a few poison ones that end every
+	// each with its own fingerprint, and a few poison ones that crash every
 	// instance that runs them. Each instance has a node with a Tracker. Changes
 	// to one Tracker reach the others after the propagation delay.
 	simulation struct {
-		rng             *rand.Rand
-		trackers        []*Tracker
-		instances       []*instance
-		propagation     time.Duration
-		spontaneousEnds float64 // per second
+		rng              *rand.Rand
+		trackers         []*Tracker
+		instances        []*instance
+		propagation      time.Duration
+		spontaneousExits float64 // per second
 
 		next       Fingerprint         // of the next harmless request
 		scheduled  []func()            // to be called at the next tick
-		bystanders []Fingerprint       // harmless requests in progress when an instance ended
+		bystanders []Fingerprint       // harmless requests in progress when an instance exited
 		poisonRuns map[Fingerprint]int // number of times each poison request ran
-		ended      map[Fingerprint][]time.Time
-		lateEnds   map[Fingerprint]int // ends later than convergenceTime after the third
-		lastID     EndID
+		exits      map[Fingerprint][]time.Time
+		lateExits  map[Fingerprint]int // exits later than convergenceTime after the third
+		lastID     ExitID
 	}
 
 	instance struct {
@@ -62,12 +62,12 @@
 		caller      Caller
 		poison      bool
 		stage       Stage     // at the start
-		endsAt      time.Time // end of the execution or, if poison, of the instance
+		endsAt      time.Time // end of the execution or, if poison, exit of the instance
 	}
 )
 
 func newSimulation(seed uint64, instances int, propagation time.Duration) *simulation {
-	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, poisonRuns: map[Fingerprint]int{}, ended: map[Fingerprint][]time.Time{}, lateEnds: map[Fingerprint]int{}}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), propagation: propagation, next: 1000, poisonRuns: map[Fingerprint]int{}, exits: map[Fingerprint][]time.Time{}, lateExits: map[Fingerprint]int{}}
 	for i := range instances {
 		s.trackers = append(s.trackers, newTestTracker())
 		s.instances = append(s.instances, &instance{name: strconv.Itoa(i), upSince: time.Now()})
@@ -101,7 +101,7 @@
 }
 
 // runIsolated routes an isolated request to the instance selected for it, or to
-// the next one if that is down: an ended instance stays listed for a while.
+// the next one if that is down: an exited instance stays listed for a while.
 func (s *simulation) runIsolated(e *execution) {
 	for remaining := slices.Clone(s.instances); len(remaining) > 0; {
 		in := IsolationInstance(e.fingerprint, remaining, func(in *instance) string { return in.name })[0]
@@ -172,7 +172,7 @@
 func (s *simulation) advance(in *instance) {
 	now := time.Now()
 	remaining := in.executions[:0]
-	crash := s.rng.Float64() < s.spontaneousEnds*tick.Seconds()/float64(len(s.instances)) && !in.upSince.After(now)
+	crash := s.rng.Float64() < s.spontaneousExits*tick.Seconds()/float64(len(s.instances)) && !in.upSince.After(now)
 	for _, e := range in.executions {
 		switch {
 		case e.endsAt.After(now):
@@ -203,15 +203,15 @@
 	var fingerprints []Fingerprint
 	interrupted := in.executions
 	for _, e := range in.executions {
-		tracker.RecordEnd(e.fingerprint, End{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
+		tracker.RecordExit(e.fingerprint, Exit{ID: s.lastID, Caller: e.caller, Isolated: e.stage == Isolated})
 		fingerprints = append(fingerprints, e.fingerprint)
 		if !e.poison {
 			s.bystanders = append(s.bystanders, e.fingerprint)
 			continue
 		}
-		s.ended[e.fingerprint] = append(s.ended[e.fingerprint], time.Now())
-		if ends := s.ended[e.fingerprint]; len(ends) > 3 && time.Since(ends[2]) > convergenceTime {
-			s.lateEnds[e.fingerprint]++
+		s.exits[e.fingerprint] = append(s.exits[e.fingerprint], time.Now())
+		if exits := s.exits[e.fingerprint]; len(exits) > 3 && time.Since(exits[2]) > convergenceTime {
+			s.lateExits[e.fingerprint]++
 		}
 	}
 	in.executions, in.upSince = nil, time.Now().Add(downTime)
@@ -275,46 +275,47 @@
 }
 
 type scenario struct {
-	instances       int
-	propagation     time.Duration
-	poison          []Fingerprint
-	interval        time.Duration
-	spontaneousEnds float64
+	instances        int
+	propagation      time.Duration
+	poison           []Fingerprint
+	interval         time.Duration
+	spontaneousExits float64
 }
 
 func (c scenario) run(t *testing.T, seed uint64) {
-	name := fmt.Sprintf("%d instances, propagation %s, %d poison requests every %s, %.1f spontaneous ends/s, seed %d", c.instances, c.propagation, len(c.poison), c.interval, c.spontaneousEnds, seed)
+	name := fmt.Sprintf("%d instances, propagation %s, %d poison requests every %s, %.1f spontaneous exits/s, seed %d", c.instances, c.propagation, len(c.poison), c.interval, c.spontaneousExits, seed)
 	t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newSimulation(seed, c.instances, c.propagation)
-			s.spontaneousEnds = c.spontaneousEnds
+			s.spontaneousExits = c.spontaneousExits
 			rate := 40 * float64(c.instances)
 			Convey(name, t, func() {
 				s.run(time.Second, rate, nil, 0)
 				s.run(40*time.Second, rate, c.poison, c.interval)
 				s.run(10*time.Second, rate, nil, 0)
 				for _, f := range c.poison {
-					So(len(s.ended[f]), ShouldBeGreaterThanOrEqualTo, 3)
-					So(s.lateEnds[f], ShouldBeLessThanOrEqualTo, maxLateEnds)
+					So(len(s.exits[f]), ShouldBeGreaterThanOrEqualTo, 3)
+					So(s.lateExits[f], ShouldBeLessThanOrEqualTo, maxLateExits)
 					So(s.worstStage(f), ShouldEqual, Quarantined)
 				}
 				So(s.quarantinedBystanders(), ShouldEqual, 0)
 			})
-			t.Logf("%d bystanders, poison runs %v, late ends %v", len(s.bystanders), s.poisonRuns, s.lateEnds)
+			t.Logf("%d bystanders, poison runs %v, late exits %v", len(s.bystanders), s.poisonRuns, s.lateExits)
 		})
 	})
 }
 
-// Poison requests end instances with sixty others in progress each, and callers
-// retry at once. With slow propagation, several poison requests or spontaneous
-// ends, few more instances may end, and no harmless request may be quarantined.
+// Poison requests crash instances with sixty others in progress each, and
+// callers retry at once. With slow propagation, several poison requests or
+// spontaneous exits, few more instances may exit, and no harmless request may
+// be quarantined.
 func TestPoisonRequestsAreContained(t *testing.T) {
 	for _, c := range []scenario{
 		{6, 30 * time.Millisecond, []Fingerprint{1}, 300 * time.Millisecond, 0},
 		{6, time.Second, []Fingerprint{1}, 500 * time.Millisecond, 0},
 		{6, 30 * time.Millisecond, []Fingerprint{1}, 5 * time.Second, 0},
 		threeConcurrent,
-		withSpontaneousEnds,
+		withSpontaneousExits,
 		{93, 50 * time.Millisecond, []Fingerprint{1, 2}, 200 * time.Millisecond, 0},
 	} {
 		for seed := range uint64(5) {
@@ -324,31 +325,32 @@
 }
 
 var (
-	threeConcurrent     = scenario{6, 30 * time.Millisecond, []Fingerprint{1, 2, 3}, 200 * time.Millisecond, 0}
-	withSpontaneousEnds = scenario{6, 30 * time.Millisecond, []Fingerprint{1}, 400 * time.Millisecond, 0.5}
+	threeConcurrent      = scenario{6, 30 * time.Millisecond, []Fingerprint{1, 2, 3}, 200 * time.Millisecond, 0}
+	withSpontaneousExits = scenario{6, 30 * time.Millisecond, []Fingerprint{1}, 400 * time.Millisecond, 0.5}
 )
 
 // A harmless request that ran isolated, concurrently with a poison one not yet
-// known, must not stay quarantined once the poison one has ended other instances.
+// known, must not stay quarantined once the poison one has crashed other
+// instances.
 func TestThreeConcurrentPoisonRequests(t *testing.T) {
 	for _, seed := range []uint64{35, 42, 54, 90} {
 		threeConcurrent.run(t, seed)
 	}
 }
 
-// An instance ends spontaneously every two seconds. A harmless request that was
-// isolated at such an end must not be quarantined for a full term.
-func TestPoisonRequestAmongSpontaneousEnds(t *testing.T) {
-	withSpontaneousEnds.run(t, 43)
+// An instance exits spontaneously every two seconds. A harmless request that was
+// isolated at such an exit must not be quarantined for a full term.
+func TestPoisonRequestAmongSpontaneousExits(t *testing.T) {
+	withSpontaneousExits.run(t, 43)
 }
 
-// All nodes restart without state while a request is quarantined. It may end at
-// most maxLateEnds more instances.
+// All nodes restart without state while a request is quarantined. It may crash
+// at most maxLateExits more instances.
 func TestPoisonRequestAfterFullRestart(t *testing.T) {
 	for _, seed := range restartSeeds {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				Convey("The request ends few instances after convergence", t, func() {
+				Convey("The request crashes few instances after convergence", t, func() {
 					s := newSimulation(seed, 6, 8*time.Millisecond)
 					s.run(time.Second, 240, nil, 0)
 					s.run(15*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
@@ -356,7 +358,7 @@
 						s.trackers[i] = newTestTracker()
 					}
 					s.run(20*time.Second, 240, []Fingerprint{1}, 700*time.Millisecond)
-					So(s.lateEnds[1], ShouldBeLessThanOrEqualTo, maxLateEnds)
+					So(s.lateExits[1], ShouldBeLessThanOrEqualTo, maxLateExits)
 				})
 			})
 		})
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxRecords bounds the number of requests in a Tracker: those of
-	// forty ended instances with a hundred requests in progress each,
+	// forty exited instances with a hundred requests in progress each,
 	// about half a megabyte.
 	maxRecords = 4096
 	// When a Tracker is full, 1/evictDivisor of its records are evicted.
@@ -26,24 +26,24 @@
 type (
 	// Config is the configuration of a Tracker.
 	Config struct {
-		// Disabled lets all requests run. Instance ends are still
+		// Disabled lets all requests run. Instance exits are still
 		// recorded and reported.
 		Disabled bool
 		Log      log.Interface
 	}
 
 	// Tracker is one node's record of the requests that instances ran when
-	// they ended. It is safe for concurrent use.
+	// they exited. It is safe for concurrent use.
 	Tracker struct {
 		cfg   Config
 		epoch uint64 // identifies this process; random
 
 		mu        sync.Mutex
 		records   map[Fingerprint]*entry
-		byEnd     map[EndID][]Fingerprint // requests that ran when an instance ended
-		seq       uint64                  // of the latest change
-		changed   chan struct{}           // closed at the next change
-		escalated chan struct{}           // closed when the next request becomes isolated or quarantined
+		byExit    map[ExitID][]Fingerprint // requests that ran when an instance exited
+		seq       uint64                   // of the latest change
+		changed   chan struct{}            // closed at the next change
+		escalated chan struct{}            // closed when the next request becomes isolated or quarantined
 		sweptAt   time.Time
 	}
 
@@ -55,8 +55,8 @@
 
 	entry struct {
 		Record
-		lastEnd time.Time // time of the last instance end; Age is derived from it
-		seq     uint64    // sequence number of the entry's latest change
+		lastExit time.Time // time of the last instance exit; Age is derived from it
+		seq      uint64    // sequence number of the entry's latest change
 	}
 
 	// Cursor is the position in a Tracker's changes up to which another
@@ -78,7 +78,7 @@
 
 // NewTracker returns an empty Tracker.
 func NewTracker(cfg Config) *Tracker {
-	return &Tracker{cfg: cfg, epoch: rand.Uint64(), records: map[Fingerprint]*entry{}, byEnd: map[EndID][]Fingerprint{}, changed: make(chan struct{}), escalated: make(chan struct{})}
+	return &Tracker{cfg: cfg, epoch: rand.Uint64(), records: map[Fingerprint]*entry{}, byExit: map[ExitID][]Fingerprint{}, changed: make(chan struct{}), escalated: make(chan struct{})}
 }
 
 // Stage returns how a caller's request may run.
@@ -89,40 +89,40 @@
 	if e == nil || t.cfg.Disabled {
 		return Free
 	}
-	e.Age = time.Since(e.lastEnd)
+	e.Age = time.Since(e.lastExit)
 	return e.stage(c, t)
 }
 
-// conclusive implements evidence. A request not yet known to be harmful may have
-// run concurrently with the isolated one. If it has since ended another instance
-// while isolated, this end is attributed to it.
-func (t *Tracker) conclusive(r *Record, end End) bool {
-	for _, f := range t.byEnd[end.ID] {
-		if o := t.records[f]; f != r.Fingerprint && o != nil && o.endedIsolatedWithout(r) {
+// conclusive implements evidence. A request not yet known to be harmful may
+// have run concurrently with the isolated one. If it has since crashed another
+// instance while isolated, this exit is attributed to it.
+func (t *Tracker) conclusive(r *Record, exit Exit) bool {
+	for _, f := range t.byExit[exit.ID] {
+		if o := t.records[f]; f != r.Fingerprint && o != nil && o.hasIsolatedExitWithout(r) {
 			return false
 		}
 	}
 	return true
 }
 
-// hasUnrelatedEnds implements evidence.
-func (t *Tracker) hasUnrelatedEnds(r *Record) bool {
+// hasUnrelatedExits implements evidence.
+func (t *Tracker) hasUnrelatedExits(r *Record) bool {
 	n := 0
-	for id, fs := range t.byEnd {
-		if r.hasEnd(id) || t.attributed(fs) {
+	for id, fs := range t.byExit {
+		if r.hasExit(id) || t.attributed(fs) {
 			continue
 		}
-		if n++; n >= minUnrelatedEnds {
+		if n++; n >= minUnrelatedExits {
 			return true
 		}
 	}
 	return false
 }
 
-// attributed reports whether any of the requests has ended an instance while it
-// ran isolated.
+// attributed reports whether any of the requests has crashed an instance while
+// it ran isolated.
 func (t *Tracker) attributed(fs []Fingerprint) bool {
-	return slices.ContainsFunc(fs, func(f Fingerprint) bool { return t.records[f].endedIsolated() })
+	return slices.ContainsFunc(fs, func(f Fingerprint) bool { return t.records[f].hasIsolatedExit() })
 }
 
 // Remaining returns the time for which a caller's quarantined request must
@@ -134,19 +134,19 @@
 	if e == nil {
 		return 0
 	}
-	return max(0, e.quarantineTerm(c, t)-time.Since(e.lastEnd))
+	return max(0, e.quarantineTerm(c, t)-time.Since(e.lastExit))
 }
 
-// RecordEnd records that an instance ended while it ran a request, and reports
+// RecordExit records that an instance exited while it ran a request, and reports
 // whether the Tracker changed.
-func (t *Tracker) RecordEnd(f Fingerprint, end End) bool {
+func (t *Tracker) RecordExit(f Fingerprint, exit Exit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.merge(Record{Fingerprint: f, Ends: []End{end}})
+	return t.merge(Record{Fingerprint: f, Exits: []Exit{exit}})
 }
 
 // RecordAnswer records that a caller's request was answered, which clears it
-// of the ends recorded for that caller. It reports whether the Tracker
+// of the exits recorded for that caller. It reports whether the Tracker
 // changed.
 func (t *Tracker) RecordAnswer(f Fingerprint, c Caller) bool {
 	t.mu.Lock()
@@ -228,7 +228,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, e := range t.records {
-		e.Age = time.Since(e.lastEnd)
+		e.Age = time.Since(e.lastExit)
 		if e.worstStage(t) == s {
 			n++
 		}
@@ -248,11 +248,11 @@
 // snapshot returns a copy of the record with its current age.
 func (e *entry) snapshot() Record {
 	r := e.Record
-	r.Ends, r.AnsweredFor, r.Age = slices.Clone(e.Ends), slices.Clone(e.AnsweredFor), time.Since(e.lastEnd)
+	r.Exits, r.AnsweredFor, r.Age = slices.Clone(e.Exits), slices.Clone(e.AnsweredFor), time.Since(e.lastExit)
 	return r
 }
 
-// merge merges a received record. Only new ends update lastEnd: otherwise two
+// merge merges a received record. Only new exits update lastExit: otherwise two
 // nodes that repeat the same record to each other would keep it forever.
 func (t *Tracker) merge(remote Record) bool {
 	if remote.Age > recordTTL {
@@ -267,10 +267,10 @@
 	}
 	return t.update(e, func() bool {
 		changed := false
-		for _, end := range remote.Ends {
-			if e.addEnd(end) {
+		for _, exit := range remote.Exits {
+			if e.addExit(exit) {
 				changed = true
-				e.lastEnd = latest(e.lastEnd, time.Now().Add(-remote.Age))
+				e.lastExit = latest(e.lastExit, time.Now().Add(-remote.Age))
 			}
 		}
 		for _, c := range remote.AnsweredFor {
@@ -283,28 +283,28 @@
 // update applies f to an entry. If f reports a change, update also updates the
 // index, notifies watchers and logs a change of stage.
 func (t *Tracker) update(e *entry, f func() bool) bool {
-	oldStage, oldEnds := e.worstStage(t), slices.Clone(e.Ends)
+	oldStage, oldExits := e.worstStage(t), slices.Clone(e.Exits)
 	if !f() {
 		return false
 	}
-	t.updateIndex(e, oldEnds)
+	t.updateIndex(e, oldExits)
 	t.seq++
 	e.seq = t.seq
 	close(t.changed)
 	t.changed = make(chan struct{})
-	e.Age = time.Since(e.lastEnd)
+	e.Age = time.Since(e.lastExit)
 	newStage := e.worstStage(t)
 	if newStage > oldStage && newStage >= Isolated {
 		close(t.escalated)
 		t.escalated = make(chan struct{})
 	}
 	if newStage != oldStage && max(newStage, oldStage) > Suspect {
-		t.cfg.Log.WithFields(log.Fields{"fingerprint": e.Fingerprint.String(), "stage": newStage.String(), "ends": len(e.Ends)}).Info("request_stage_changed")
+		t.cfg.Log.WithFields(log.Fields{"fingerprint": e.Fingerprint.String(), "stage": newStage.String(), "ends": len(e.Exits)}).Info("request_stage_changed")
 	}
 	return true
 }
 
-// sweep removes records whose last end is older than recordTTL.
+// sweep removes records whose last exit is older than recordTTL.
 func (t *Tracker) sweep() {
 	now := time.Now()
 	if now.Sub(t.sweptAt) < sweepInterval {
@@ -312,51 +312,51 @@
 	}
 	t.sweptAt = now
 	for f, e := range t.records {
-		if now.Sub(e.lastEnd) > recordTTL {
+		if now.Sub(e.lastExit) > recordTTL {
 			t.remove(f)
 		}
 	}
 }
 
 // evict removes part of the records if the Tracker is full: those at the
-// lowest stage with the oldest ends.
+// lowest stage with the oldest exits.
 func (t *Tracker) evict() {
 	if len(t.records) < maxRecords {
 		return
 	}
 	all := slices.SortedFunc(maps.Values(t.records), func(x, y *entry) int {
-		return cmp.Or(cmp.Compare(x.worstStage(t), y.worstStage(t)), x.lastEnd.Compare(y.lastEnd))
+		return cmp.Or(cmp.Compare(x.worstStage(t), y.worstStage(t)), x.lastExit.Compare(y.lastExit))
 	})
 	for _, e := range all[:maxRecords/evictDivisor] {
 		t.remove(e.Fingerprint)
 	}
 }
 
-// updateIndex replaces oldEnds by the entry's current ends in byEnd.
-func (t *Tracker) updateIndex(e *entry, oldEnds []End) {
-	for _, end := range oldEnds {
-		if !slices.ContainsFunc(e.Ends, func(o End) bool { return o.ID == end.ID }) {
-			t.removeFromIndex(end.ID, e.Fingerprint)
+// updateIndex replaces oldExits by the entry's current exits in byExit.
+func (t *Tracker) updateIndex(e *entry, oldExits []Exit) {
+	for _, exit := range oldExits {
+		if !slices.ContainsFunc(e.Exits, func(o Exit) bool { return o.ID == exit.ID }) {
+			t.removeFromIndex(exit.ID, e.Fingerprint)
 		}
 	}
-	for _, end := range e.Ends {
-		if !slices.Contains(t.byEnd[end.ID], e.Fingerprint) {
-			t.byEnd[end.ID] = append(t.byEnd[end.ID], e.Fingerprint)
+	for _, exit := range e.Exits {
+		if !slices.Contains(t.byExit[exit.ID], e.Fingerprint) {
+			t.byExit[exit.ID] = append(t.byExit[exit.ID], e.Fingerprint)
 		}
 	}
 }
 
-func (t *Tracker) removeFromIndex(id EndID, f Fingerprint) {
-	remaining := slices.DeleteFunc(t.byEnd[id], func(o Fingerprint) bool { return o == f })
+func (t *Tracker) removeFromIndex(id ExitID, f Fingerprint) {
+	remaining := slices.DeleteFunc(t.byExit[id], func(o Fingerprint) bool { return o == f })
 	if len(remaining) == 0 {
-		delete(t.byEnd, id)
+		delete(t.byExit, id)
 		return
 	}
-	t.byEnd[id] = remaining
+	t.byExit[id] = remaining
 }
 
 func (t *Tracker) remove(f Fingerprint) {
-	for _, e := range t.records[f].Ends {
+	for _, e := range t.records[f].Exits {
 		t.removeFromIndex(e.ID, f)
 	}
 	delete(t.records, f)
--- a/sidecar/exit.go
+++ b/sidecar/exit.go
@@ -48,14 +48,14 @@
 
 // targetExitDuring returns the exit of the target that broke the connection
 // of a request, or nil if only the connection failed.
-func (n *Node) targetExitDuring(ctx context.Context, r *call.Request, began time.Time) *call.InstanceEnd {
+func (n *Node) targetExitDuring(ctx context.Context, r *call.Request, began time.Time) *call.InstanceExit {
 	if ctx.Err() != nil {
 		return nil
 	}
 	id, first := n.exits.exitDuring(began, time.Now(), func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), exitProbeTimeout)
 		defer cancel()
-		return n.target.TargetEnded(ctx)
+		return n.target.TargetExited(ctx)
 	})
 	if id == 0 {
 		return nil
@@ -72,5 +72,5 @@
 		return log.Fields{"id": r.ID, "fingerprint": quarantine.FingerprintOf(r).String(), "caller": r.HTTP.Caller, "instance": r.To,
 			"headers": names, "age_ms": time.Since(began).Milliseconds()}
 	})
-	return &call.InstanceEnd{ID: id}
+	return &call.InstanceExit{ID: id}
 }
--- a/sidecar/quarantine.go
+++ b/sidecar/quarantine.go
@@ -97,8 +97,8 @@
 // recordRun records the result of a request at the local target and reports
 // changes to other nodes.
 func (n *Node) recordRun(qs quarantineState, a *call.Answer) {
-	if a.InstanceEnd != nil {
-		a.InstanceEnd.Isolated = qs.stage == quarantine.Isolated
+	if a.InstanceExit != nil {
+		a.InstanceExit.Isolated = qs.stage == quarantine.Isolated
 	}
 	if n.recordAttempt(qs, a) {
 		n.queueReport(qs.fingerprint)
@@ -109,8 +109,8 @@
 // whether the quarantine records changed.
 func (n *Node) recordAttempt(qs quarantineState, a *call.Answer) bool {
 	switch {
-	case a.InstanceEnd != nil:
-		return n.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(a.InstanceEnd.ID), Caller: qs.caller, Isolated: a.InstanceEnd.Isolated})
+	case a.InstanceExit != nil:
+		return n.quarantine.RecordExit(qs.fingerprint, quarantine.Exit{ID: quarantine.ExitID(a.InstanceExit.ID), Caller: qs.caller, Isolated: a.InstanceExit.Isolated})
 	case a.HTTP != nil:
 		return n.quarantine.RecordAnswer(qs.fingerprint, qs.caller)
 	}
--- a/sidecar/quarantine_test.go
+++ b/sidecar/quarantine_test.go
@@ -220,7 +220,7 @@
 	Convey("503 with the remaining quarantine as Retry-After at every node; other requests are served", t, func() {
 		qs := quarantineStateAt(m.vms[0].node, "/read/fatal")
 		for i, c := range []quarantine.Caller{"versand", "versand", "archiv"} {
-			m.vms[1].node.quarantine.RecordEnd(qs.fingerprint, quarantine.End{ID: quarantine.EndID(i + 1), Caller: c, Isolated: i == 2})
+			m.vms[1].node.quarantine.RecordExit(qs.fingerprint, quarantine.Exit{ID: quarantine.ExitID(i + 1), Caller: c, Isolated: i == 2})
 		}
 		m.vms[1].node.queueReport(qs.fingerprint)
 		time.Sleep(300 * time.Millisecond)
@@ -248,7 +248,7 @@
 	m := newMesh(t, "archiv")
 	n := m.vms[0].node
 	Convey("A deltaRequest with one field less is answered", t, func() {
-		n.quarantine.RecordEnd(1, quarantine.End{ID: 1, Caller: "archiv"})
+		n.quarantine.RecordExit(1, quarantine.Exit{ID: 1, Caller: "archiv"})
 		body, err := msgpack.Marshal([]any{n.dir.Revision(), 200 * time.Millisecond})
 		So(err, ShouldBeNil)
 		began := time.Now()
--- a/sidecar/serve.go
+++ b/sidecar/serve.go
@@ -198,11 +198,11 @@
 	switch {
 	case errors.Is(err, targetconn.ErrNotSent):
 		if errors.Is(err, targetconn.ErrConnRefused) {
-			n.vouchChecker.RecordEnd()
+			n.vouchChecker.RecordExit()
 		}
 		return call.Refuse(r, err.Error(), 0)
 	case err != nil:
-		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), ReachedTarget: true, InstanceEnd: n.targetExitDuring(ctx, &r, began)}
+		return call.Answer{ID: r.ID, Status: call.Unknown, Reason: err.Error(), ReachedTarget: true, InstanceExit: n.targetExitDuring(ctx, &r, began)}
 	}
 	return n.classifyAnswer(r, resp)
 }
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -171,7 +171,7 @@
 	resp, err := n.target.Do(ctx, &targetconn.Request{Method: http.MethodGet, Host: n.cfg.TargetAddr, URI: path})
 	switch {
 	case errors.Is(err, targetconn.ErrConnRefused):
-		n.vouchChecker.RecordEnd()
+		n.vouchChecker.RecordExit()
 		return vouch.NotServing
 	case err != nil && ctx.Err() == nil:
 		return vouch.NotServing
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -142,10 +142,10 @@
 	return a, nil
 }
 
-// TargetEnded reports whether the target's process has exited, which is the
+// TargetExited reports whether the target's process has exited, which is the
 // case if nothing listens at its address. It dials the target and returns a
 // working connection to the pool.
-func (p *Pool) TargetEnded(ctx context.Context) bool {
+func (p *Pool) TargetExited(ctx context.Context) bool {
 	for {
 		nc, err := p.cfg.Dial(ctx, p.cfg.Addr)
 		if err != nil {
--- a/targetconn/pool_test.go
+++ b/targetconn/pool_test.go
@@ -353,9 +353,9 @@
 }
 
 // A target that closes one connection and keeps running must not be reported as
-// ended; one whose process has exited must be.
-func TestTargetEndedDistinguishesExitFromReset(t *testing.T) {
-	Convey("A target that accepts a new connection has not ended, and the connection is reused", t, func() {
+// exited; one whose process has exited must be.
+func TestTargetExitedDistinguishesExitFromReset(t *testing.T) {
+	Convey("A target that accepts a new connection has not exited, and the connection is reused", t, func() {
 		p, conns := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 			if n > 1 {
 				echo(n, c, r)
@@ -363,12 +363,12 @@
 		})
 		_, err := do(p, "a")
 		So(errors.Is(err, ErrNoAnswer), ShouldBeTrue)
-		So(p.TargetEnded(context.Background()), ShouldBeFalse)
+		So(p.TargetExited(context.Background()), ShouldBeFalse)
 		_, err = do(p, "b")
 		So(err, ShouldBeNil)
 		So(conns.Load(), ShouldEqual, 2)
 	})
-	Convey("A target that closes a connection it accepted while exiting has ended", t, func() {
+	Convey("A target that closes a connection it accepted while exiting is reported as exited", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		go func() {
@@ -379,14 +379,14 @@
 			l.Close()
 			c.Close()
 		}()
-		So(NewPool(Config{Addr: l.Addr().String(), Headers: headers}).TargetEnded(context.Background()), ShouldBeTrue)
+		So(NewPool(Config{Addr: l.Addr().String(), Headers: headers}).TargetExited(context.Background()), ShouldBeTrue)
 	})
-	Convey("A target at whose address nothing listens has ended", t, func() {
+	Convey("A target at whose address nothing listens has exited", t, func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		p := NewPool(Config{Addr: l.Addr().String(), Headers: headers})
 		So(l.Close(), ShouldBeNil)
-		So(p.TargetEnded(context.Background()), ShouldBeTrue)
+		So(p.TargetExited(context.Background()), ShouldBeTrue)
 	})
 }
 
--- a/vouch/checker.go
+++ b/vouch/checker.go
@@ -68,7 +68,7 @@
 
 		mu           sync.Mutex
 		instance     *directory.Instance // as last listed
-		ended        bool                // this run of the instance is over
+		exited       bool                // this run of the instance has exited
 		lastServing  time.Time           // last time the target was found serving
 		sourceLostAt time.Time           // last time the source did not answer a check
 		checkedAt    time.Time
@@ -86,18 +86,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.instance == nil || c.instance.Start() != in.Start() || c.instance.Revision != in.Revision || in.Leaving {
-		c.checkedAt, c.lastServing, c.ended = time.Time{}, time.Time{}, false
+		c.checkedAt, c.lastServing, c.exited = time.Time{}, time.Time{}, false
 	}
 	c.instance = &in
 }
 
-// RecordEnd records that nothing listens at the target's address any more. A
+// RecordExit records that nothing listens at the target's address any more. A
 // later instance at that address is a new run, even under the same ID, and is
 // vouched for only once it is listed.
-func (c *Checker) RecordEnd() {
+func (c *Checker) RecordExit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended, c.verdict = true, false
+	c.exited, c.verdict = true, false
 }
 
 // Vouch reports whether this node vouches for a run of an instance for the next
@@ -105,7 +105,7 @@
 func (c *Checker) Vouch(ctx context.Context, start directory.Start) bool {
 	for {
 		c.mu.Lock()
-		if c.instance == nil || c.instance.Start() != start || c.instance.Leaving || c.ended {
+		if c.instance == nil || c.instance.Start() != start || c.instance.Leaving || c.exited {
 			c.mu.Unlock()
 			return false
 		}
--- a/wire/versions_test.go
+++ b/wire/versions_test.go
@@ -20,7 +20,7 @@
 	"answer": {Kind: KindAnswer, Stream: 300, ConfigVersion: 42, Answer: &call.Answer{ID: "r1", Status: call.OK, Reason: "why", RetryAfter: time.Second,
 		RetriesUsed: 1, Leaving: true, Declined: true, Body: []byte("body"), HTTP: &call.HTTPAnswer{Code: 200, Header: []call.Field{{Name: "A", Value: "b"}}},
 		ReachedTarget: true, Load: &call.Load{InFlight: 1, Queued: 2, Limit: 3, Threshold: 4, FailureRate: 0.5, OverloadSlotTime: time.Second, Slowdown: 1.5, Bottleneck: "entwurf"},
-		InstanceEnd: &call.InstanceEnd{ID: 9, Isolated: true}, NoRetry: true, Piggyback: []byte("news")}},
+		InstanceExit: &call.InstanceExit{ID: 9, Isolated: true}, NoRetry: true, Piggyback: []byte("news")}},
 	"ping": {Kind: KindPing, Stream: 7},
 }
 
