--- a/account/aggregator.go
+++ b/account/aggregator.go
@@ -35,7 +35,7 @@
 
 type (
 	// Aggregator aggregates the usage of all accounts on a data centre's
-	// collector and computes each source's standings. It keeps one token
+	// collector and computes each source's quotas. It keeps one token
 	// bucket per account for the whole deployment. It is safe for
 	// concurrent use.
 	Aggregator struct {
@@ -61,8 +61,8 @@
 	return &Aggregator{buckets: map[Name]*clusterBucket{}, lastReport: map[Source]time.Time{}}
 }
 
-// Add processes a report and returns the standings of the accounts in it.
-func (g *Aggregator) Add(registry *Registry, r Report) []Standing {
+// Add processes a report and returns the quotas of the accounts in it.
+func (g *Aggregator) Add(registry *Registry, r Report) []Quota {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
@@ -76,7 +76,7 @@
 	}
 	interval, reported := now.Sub(g.lastReport[r.From]), map[Name]bool{}
 	g.lastReport[r.From] = now
-	out := make([]Standing, 0, len(r.Usage))
+	out := make([]Quota, 0, len(r.Usage))
 	for _, u := range r.Usage {
 		a := registry.ByName(u.Account)
 		if a == nil || a.Rate <= 0 {
@@ -88,7 +88,7 @@
 		d := c.demandOf(r.From)
 		d.aggregated = r.Aggregated
 		d.observe(float64(u.Requested), interval, now, c.nearLimit(a))
-		out = append(out, c.standing(a, r.From))
+		out = append(out, c.quota(a, r.From))
 	}
 	g.recordIdle(r.From, reported, interval, now)
 	return out
@@ -250,20 +250,20 @@
 	return nodeSilenceTimeout
 }
 
-// standing returns the account's standing for a source. While at least half of
+// quota returns the account's quota for a source. While at least half of
 // the capacity is left, every source may use all of it. Below that, each gets
 // the tokens in proportion to its demand, but no less than an even share, since
 // each node sees few requests of a small account.
-func (c *clusterBucket) standing(a *Account, from Source) Standing {
+func (c *clusterBucket) quota(a *Account, from Source) Quota {
 	var currentTotal, baselineTotal float64
 	for _, d := range c.sources {
 		currentTotal += d.rate
 		baselineTotal += d.pastBaseline
 	}
 	d, evenShare := c.sources[from], 1/float64(len(c.sources))
-	s := Standing{Account: a.Name, Tokens: float32(c.tokens), Share: float32(ratio(d.pastBaseline, baselineTotal)), Unrestricted: !c.nearLimit(a)}
-	if !s.Unrestricted {
-		s.Tokens *= float32(max(ratio(d.rate, currentTotal), evenShare))
+	q := Quota{Account: a.Name, Tokens: float32(c.tokens), Share: float32(ratio(d.pastBaseline, baselineTotal)), Unrestricted: !c.nearLimit(a)}
+	if !q.Unrestricted {
+		q.Tokens *= float32(max(ratio(d.rate, currentTotal), evenShare))
 	}
-	return s
+	return q
 }
--- a/account/exchange.go
+++ b/account/exchange.go
@@ -43,14 +43,14 @@
 		// total is the number of nodes.
 		Collectors func() (own []Source, others [][]Source, total int)
 		// Send sends a report to a node and returns its answer.
-		Send func(ctx context.Context, to Source, r Report) ([]Standing, error)
+		Send func(ctx context.Context, to Source, r Report) ([]Quota, error)
 		// OnError is called for each report that could not be
 		// delivered.
 		OnError func(to Source, err error)
 	}
 
 	// Exchange keeps a node's Limiter up to date. It reports local usage to one
-	// collector in the data centre and applies the standings in the answer. On
+	// collector in the data centre and applies the quotas in the answer. On
 	// a collector it aggregates the usage of the data centre's nodes and
 	// forwards it to the collectors of the other data centres. It is safe for
 	// concurrent use.
@@ -115,17 +115,17 @@
 }
 
 // HandleReport processes a report from another node and returns the answer.
-func (x *Exchange) HandleReport(r Report) []Standing {
+func (x *Exchange) HandleReport(r Report) []Quota {
 	registry := x.cfg.Registry()
 	if registry == nil {
 		return nil
 	}
-	standings := x.aggregator.Add(registry, r)
+	quotas := x.aggregator.Add(registry, r)
 	if r.Aggregated {
 		return nil
 	}
 	x.enqueue(r.Usage)
-	return standings
+	return quotas
 }
 
 // report sends this node's usage to a collector. While no account is near its
@@ -152,14 +152,14 @@
 	}
 	x.switchCollector(ctx, to)
 	if to == x.cfg.Self {
-		x.applyStandings(registry, x.HandleReport(r))
+		x.applyQuotas(registry, x.HandleReport(r))
 		return
 	}
 	reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	standings, err := x.cfg.Send(reportCtx, to, r)
+	quotas, err := x.cfg.Send(reportCtx, to, r)
 	if err == nil {
-		x.applyStandings(registry, standings)
+		x.applyQuotas(registry, quotas)
 		return
 	}
 	x.limiter.Requeue(us)
@@ -188,9 +188,9 @@
 	}()
 }
 
-func (x *Exchange) applyStandings(registry *Registry, standings []Standing) {
+func (x *Exchange) applyQuotas(registry *Registry, quotas []Quota) {
 	x.failingSince = time.Time{}
-	x.limiter.ApplyStandings(registry, standings)
+	x.limiter.ApplyQuotas(registry, quotas)
 }
 
 // reportFailed records a failed report and switches the limiter to fallback
--- a/account/fleet_test.go
+++ b/account/fleet_test.go
@@ -119,7 +119,7 @@
 	return collectorsOf(n.dc), others, len(n.f.nodes)
 }
 
-func (n *node) send(ctx context.Context, to Source, r Report) ([]Standing, error) {
+func (n *node) send(ctx context.Context, to Source, r Report) ([]Quota, error) {
 	i, err := strconv.Atoi(string(to))
 	if err != nil {
 		return nil, err
@@ -140,11 +140,11 @@
 	if !peer.alive || !n.alive {
 		return nil, errPartitioned
 	}
-	standings := peer.x.HandleReport(r)
+	quotas := peer.x.HandleReport(r)
 	n.f.countBytes(r)
-	n.f.countBytes(Standings{Entries: standings})
+	n.f.countBytes(Quotas{Entries: quotas})
 	wait(networkDelay)
-	return standings, ctx.Err()
+	return quotas, ctx.Err()
 }
 
 func (f *fleet) countBytes(message any) {
--- a/account/limiter.go
+++ b/account/limiter.go
@@ -11,10 +11,10 @@
 	// fallbackTokens is the least capacity of an account's bucket while
 	// the node cannot reach a collector.
 	fallbackTokens = 1
-	// standingTTL is how long an unrestricted standing is valid. Without it, a
+	// quotaTTL is how long an unrestricted quota is valid. Without it, a
 	// node that is disconnected as a surge begins would admit the account's
 	// full rate.
-	standingTTL = 300 * time.Millisecond
+	quotaTTL = 300 * time.Millisecond
 	// demandSlack is how many requests above its share a node may see by chance
 	// between two reports.
 	demandSlack = 3
@@ -22,7 +22,7 @@
 
 type (
 	// Limiter enforces the accounts' rate limits at one node, based on the
-	// last standings from a collector's Aggregator. It is safe for
+	// last quotas from a collector's Aggregator. It is safe for
 	// concurrent use.
 	Limiter struct {
 		mu       sync.Mutex
@@ -38,8 +38,8 @@
 		rate       float64   // tokens per second
 		capacity   float64
 
-		// From the last Standing; zero before the first.
-		standingAt   time.Time
+		// From the last Quota; zero before the first.
+		quotaAt      time.Time
 		share        float64 // fraction of the account's rate
 		fairRate     float64 // share in requests per second
 		unrestricted bool    // the node may use the account's full rate
@@ -55,7 +55,7 @@
 )
 
 // NewLimiter returns a Limiter that restricts the node to an even share until
-// the first standings arrive, since usage before a restart of all nodes still
+// the first quotas arrive, since usage before a restart of all nodes still
 // counts.
 func NewLimiter() *Limiter {
 	return &Limiter{buckets: map[Name]*bucket{}, nodes: 1, fallback: true}
@@ -73,7 +73,7 @@
 	now := time.Now()
 	b := l.bucket(a, now)
 	b.refill(now)
-	if b.unrestricted && now.Sub(b.standingAt) > standingTTL {
+	if b.unrestricted && now.Sub(b.quotaAt) > quotaTTL {
 		b.restrict(a, b.share, demandSlack)
 	}
 	b.requested++
@@ -179,23 +179,23 @@
 	}
 }
 
-// ApplyStandings applies the standings from the answer to a report.
-func (l *Limiter) ApplyStandings(registry *Registry, standings []Standing) {
+// ApplyQuotas applies the quotas from the answer to a report.
+func (l *Limiter) ApplyQuotas(registry *Registry, quotas []Quota) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fallback = false
 	now := time.Now()
-	for _, s := range standings {
-		a := registry.ByName(s.Account)
-		b := l.buckets[s.Account]
+	for _, q := range quotas {
+		a := registry.ByName(q.Account)
+		b := l.buckets[q.Account]
 		if a == nil || b == nil {
 			continue
 		}
-		b.share, b.refilledAt, b.standingAt = float64(s.Share), now, now
-		b.tokens = float64(s.Tokens) - float64(b.admitted)
+		b.share, b.refilledAt, b.quotaAt = float64(q.Share), now, now
+		b.tokens = float64(q.Tokens) - float64(b.admitted)
 		b.rate, b.capacity = a.Rate*b.share, bucketCapacity(a)
 		b.fairRate = b.rate
-		if b.unrestricted, b.nearLimit = s.Unrestricted, !s.Unrestricted; s.Unrestricted {
+		if b.unrestricted, b.nearLimit = q.Unrestricted, !q.Unrestricted; q.Unrestricted {
 			b.rate = a.Rate
 		}
 	}
--- a/account/usage.go
+++ b/account/usage.go
@@ -35,9 +35,9 @@
 		Moved bool
 	}
 
-	// Standing is the state of an account over all nodes, as sent to one
-	// source.
-	Standing struct {
+	// Quota is what one source may use of an account's rate limit, computed
+	// from the usage of all sources.
+	Quota struct {
 		_msgpack struct{} `msgpack:",as_array"`
 		Account  Name
 		Tokens   float32 // available to the source; negative after overuse
@@ -47,10 +47,10 @@
 		Unrestricted bool
 	}
 
-	// Standings is the answer to a Report.
-	Standings struct {
+	// Quotas is the answer to a Report.
+	Quotas struct {
 		_msgpack struct{} `msgpack:",as_array"`
-		Entries  []Standing
+		Entries  []Quota
 	}
 )
 
@@ -67,13 +67,13 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (s *Standing) DecodeMsgpack(d *msgpack.Decoder) error {
-	*s = Standing{}
-	return message.DecodeArray(d, (*string)(&s.Account), &s.Tokens, &s.Share, &s.Unrestricted)
+func (q *Quota) DecodeMsgpack(d *msgpack.Decoder) error {
+	*q = Quota{}
+	return message.DecodeArray(d, (*string)(&q.Account), &q.Tokens, &q.Share, &q.Unrestricted)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (s *Standings) DecodeMsgpack(d *msgpack.Decoder) error {
-	*s = Standings{}
-	return message.DecodeArray(d, (*message.List[Standing])(&s.Entries))
+func (q *Quotas) DecodeMsgpack(d *msgpack.Decoder) error {
+	*q = Quotas{}
+	return message.DecodeArray(d, (*message.List[Quota])(&q.Entries))
 }
--- a/account/usage_test.go
+++ b/account/usage_test.go
@@ -23,13 +23,13 @@
 		if msgpack.Unmarshal(b, &r) != nil {
 			return
 		}
-		standings := NewAggregator().Add(registry, r)
-		out, err := msgpack.Marshal(Standings{Entries: standings})
+		quotas := NewAggregator().Add(registry, r)
+		out, err := msgpack.Marshal(Quotas{Entries: quotas})
 		if err != nil {
 			t.Fatal(err)
 		}
-		var got Standings
-		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Entries) != len(standings) {
+		var got Quotas
+		if err := msgpack.Unmarshal(out, &got); err != nil || len(got.Entries) != len(quotas) {
 			t.Fatal(got, err)
 		}
 	})
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -100,7 +100,7 @@
 
 		mu          sync.Mutex
 		meanByRoute map[string]time.Duration // mean latency by route
-		states      map[directory.Start]*instanceState
+		states      map[directory.Incarnation]*instanceState
 	}
 
 	// PickRequest describes a request to be sent to one of several instances.
@@ -147,7 +147,7 @@
 
 // New returns a Balancer without any data on instances.
 func New(cfg Config) *Balancer {
-	return &Balancer{cfg: cfg, meanByRoute: map[string]time.Duration{}, states: map[directory.Start]*instanceState{}}
+	return &Balancer{cfg: cfg, meanByRoute: map[string]time.Duration{}, states: map[directory.Incarnation]*instanceState{}}
 }
 
 // Pick chooses an instance for a request and counts the request as
@@ -166,7 +166,7 @@
 	if best == nil {
 		return directory.Instance{}, false
 	}
-	b.state(best.Start()).outstanding++
+	b.state(best.Incarnation()).outstanding++
 	return *best, true
 }
 
@@ -182,7 +182,7 @@
 
 // Done records the outcome of a request to the run at of an instance
 // returned by Pick.
-func (b *Balancer) Done(at directory.Start, o Outcome) {
+func (b *Balancer) Done(at directory.Incarnation, o Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state(at)
@@ -222,7 +222,7 @@
 
 // HasState reports whether a run of an instance has been considered for or
 // sent a request.
-func (b *Balancer) HasState(at directory.Start) bool {
+func (b *Balancer) HasState(at directory.Incarnation) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	_, ok := b.states[at]
@@ -241,7 +241,7 @@
 	}
 }
 
-func (b *Balancer) state(at directory.Start) *instanceState {
+func (b *Balancer) state(at directory.Incarnation) *instanceState {
 	s := b.states[at]
 	if s == nil {
 		s = &instanceState{latencyByRoute: map[string]relativeLatency{}}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -25,7 +25,7 @@
 		in, ok := b.Pick(PickRequest{Instances: instances})
 		So(ok, ShouldBeTrue)
 		count[in.ID]++
-		b.Done(in.Start(), outcome(in.ID))
+		b.Done(in.Incarnation(), outcome(in.ID))
 		time.Sleep(time.Millisecond)
 	}
 	return count
@@ -112,7 +112,7 @@
 						near++
 						o.Latency *= slow
 					}
-					b.Done(in.Start(), o)
+					b.Done(in.Incarnation(), o)
 					time.Sleep(time.Millisecond)
 				}
 				return near
@@ -141,7 +141,7 @@
 						near++
 						o.Latency = typical * 3 / 2
 					}
-					b.Done(in.Start(), o)
+					b.Done(in.Incarnation(), o)
 					time.Sleep(10 * time.Millisecond)
 				}
 				return near
@@ -152,15 +152,15 @@
 			So(run(PickRequest{Route: "read"}, 400*time.Millisecond, 300), ShouldBeGreaterThan, 270)
 			Convey("Approvals do not go to a full instance", func() {
 				in, _ := b.Pick(approve)
-				b.Done(in.Start(), Outcome{})
-				b.states[directory.Start{ID: "far"}].load = *loadOf(60)
+				b.Done(in.Incarnation(), Outcome{})
+				b.states[directory.Incarnation{ID: "far"}].load = *loadOf(60)
 				near := 0
 				for range 100 {
 					in, _ := b.Pick(approve)
 					if in.ID == "near" {
 						near++
 					}
-					b.Done(in.Start(), Outcome{})
+					b.Done(in.Incarnation(), Outcome{})
 				}
 				So(near, ShouldBeGreaterThan, 90)
 			})
@@ -175,13 +175,13 @@
 		Convey("It is avoided during the backoff unless no other instance is left", t, func() {
 			b := New(Config{DC: "nord", Weights: DefaultWeights()})
 			in, _ := b.Pick(PickRequest{Instances: instances})
-			b.Done(in.Start(), Outcome{Unreachable: true})
+			b.Done(in.Incarnation(), Outcome{Unreachable: true})
 			healthy := func(directory.InstanceID) Outcome { return Outcome{Load: loadOf(1)} }
 			So(countPicks(b, 500, healthy)["near"], ShouldEqual, 0)
 			in, ok := b.Pick(PickRequest{Instances: instances, Tried: []directory.InstanceID{"far"}})
 			So(ok, ShouldBeTrue)
 			So(in.ID, ShouldEqual, directory.InstanceID("near"))
-			b.Done(directory.Start{ID: "near"}, Outcome{Unreachable: true})
+			b.Done(directory.Incarnation{ID: "near"}, Outcome{Unreachable: true})
 			time.Sleep(unreachableBackoff)
 			So(countPicks(b, 10, healthy)["near"], ShouldEqual, 10)
 		})
@@ -238,7 +238,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					in, _ := bal.Pick(PickRequest{Instances: ins, SameDC: near})
-					bal.Done(in.Start(), Outcome{Latency: time.Millisecond})
+					bal.Done(in.Incarnation(), Outcome{Latency: time.Millisecond})
 				}
 			})
 		}
@@ -259,11 +259,11 @@
 					outstanding = append(outstanding, in)
 					continue
 				}
-				b.Done(in.Start(), Outcome{Failed: in.ID == "near", Load: loadOf(50)})
+				b.Done(in.Incarnation(), Outcome{Failed: in.ID == "near", Load: loadOf(50)})
 			}
 			restarted := []directory.Instance{{ID: "near", DC: "nord", Slots: 60, Started: 2000}, first[1]}
 			for _, in := range outstanding {
-				b.Done(in.Start(), Outcome{Failed: true, Leaving: true})
+				b.Done(in.Incarnation(), Outcome{Failed: true, Leaving: true})
 			}
 			near := 0
 			for range 100 {
@@ -271,7 +271,7 @@
 				if in.ID == "near" {
 					near++
 				}
-				b.Done(in.Start(), Outcome{Latency: time.Millisecond, Load: loadOf(5)})
+				b.Done(in.Incarnation(), Outcome{Latency: time.Millisecond, Load: loadOf(5)})
 			}
 			So(near, ShouldEqual, 100)
 		})
--- a/balance/selection.go
+++ b/balance/selection.go
@@ -60,7 +60,7 @@
 		return
 	}
 	b := sel.b
-	s := b.state(in.Start())
+	s := b.state(in.Incarnation())
 	cost := b.cost(in, s, sel.now) + b.deadlineRisk(sel.req, s, sel.now)
 	if sel.now.Before(s.avoidUntil) {
 		if sel.avoided == nil || cost < sel.avoidedCost {
--- a/callgraph/doc.go
+++ b/callgraph/doc.go
@@ -1,4 +1,4 @@
 // Package callgraph parses and validates the mesh configuration: services,
 // their instances, data centres and dependencies, and the class, idempotence,
-// deadline and retry limit of each operation.
+// timeout and retry limit of each operation.
 package callgraph
--- a/callgraph/graph.go
+++ b/callgraph/graph.go
@@ -54,7 +54,7 @@
 		Name        string
 		Class       call.Class
 		Idempotent  bool
-		Deadline    time.Duration
+		Timeout     time.Duration
 		MaxRetries  int           // retries per hop, within the request's RetryBudget
 		ServiceTime time.Duration // in the simulated target
 		Calls       []Ref         // downstream calls, in order
--- a/callgraph/parse.go
+++ b/callgraph/parse.go
@@ -101,7 +101,7 @@
 		Name:        name,
 		Class:       call.Class(s.Key("class").String()),
 		Idempotent:  p.bool(s, "idempotent"),
-		Deadline:    p.duration(s, "deadline", time.Second),
+		Timeout:     p.duration(s, "deadline", time.Second),
 		MaxRetries:  p.int(s, "retries", 0),
 		ServiceTime: p.duration(s, "cost", time.Millisecond),
 	}
--- a/cmd/oatpin/demo.go
+++ b/cmd/oatpin/demo.go
@@ -48,7 +48,7 @@
 		}
 		defer closer.Close()
 		for _, d := range deployments {
-			m, err := demo.Start(demo.Config{InitialConfig: d.text, Platform: d.configServiceAddr, AnyPort: c.Bool("any-port"), Log: lg})
+			m, err := demo.Start(demo.Config{InitialConfig: d.text, ConfigServiceAddr: d.configServiceAddr, AnyPort: c.Bool("any-port"), Log: lg})
 			if err != nil {
 				return err
 			}
--- a/cmd/oatpin/experiment.go
+++ b/cmd/oatpin/experiment.go
@@ -36,7 +36,7 @@
 		series := map[string][]int64{}
 		for _, baseline := range []bool{false, true} {
 			s := demo.SlowdownExperiment{
-				MeshConfig:  demo.Config{InitialConfig: examples.Slowdown, Platform: "127.0.0.1:0", Baseline: baseline, Log: lg},
+				MeshConfig:  demo.Config{InitialConfig: examples.Slowdown, ConfigServiceAddr: "127.0.0.1:0", Baseline: baseline, Log: lg},
 				Operations:  []callgraph.Ref{{Service: "front", Operation: "write"}, {Service: "front", Operation: "read"}},
 				SlowService: "deep", SlowdownFactor: c.Float64("factor"), Rate: c.Float64("rate"), SurgeFactor: c.Float64("surge"),
 				WarmUp: c.Duration("warm"), SlowPeriod: c.Duration("slow"), RecoveryPeriod: c.Duration("after"), Retries: c.Int("retries"),
--- a/cmd/oatpin/roles.go
+++ b/cmd/oatpin/roles.go
@@ -53,7 +53,7 @@
 		if err := settings.Load(c.String("settings"), "target", &s); err != nil {
 			return err
 		}
-		g, err := fetchConfig(s.Platform)
+		g, err := fetchConfig(s.ConfigServiceURL)
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 	Usage: "run the stand-in configuration service and VM list",
 	Flags: []cli.Flag{settingsFlag},
 	Action: func(c *cli.Context) error {
-		var s settings.Platform
+		var s settings.ConfigService
 		if err := settings.Load(c.String("settings"), "platform", &s); err != nil {
 			return err
 		}
--- a/cmd/oatpin/sidecar.go
+++ b/cmd/oatpin/sidecar.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		dir := directory.New(p.Directory(lg))
+		dir := directory.New(p.DirectoryConfig(lg))
 		store := platform.NewStore(s.Store, lg)
 		n, err := sidecar.New(sidecar.Config{
 			Name: s.Name, DC: s.DC, Service: s.Service, TargetAddr: s.Target, CallerAddr: s.Callers, PeerAddr: s.Peer,
@@ -71,8 +71,8 @@
 // tuning returns the settings that a reload applies.
 func tuning(s settings.Sidecar) sidecar.Tuning {
 	return sidecar.Tuning{
-		BodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
-		Retries:   budget.RetryWindowConfig{Span: s.RetryWindow, Ratio: s.RetryRatio, MinRetries: s.MinRetries},
+		MaxHeldBodyBytes: int64(s.MemoryMB) << 20 / bodyMemoryDivisor,
+		Retries:          budget.RetryWindowConfig{Span: s.RetryWindow, Ratio: s.RetryRatio, MinRetries: s.MinRetries},
 	}
 }
 
--- a/configservice/server.go
+++ b/configservice/server.go
@@ -35,7 +35,7 @@
 	// Config is the configuration of a Server.
 	Config struct {
 		InitialConfig []byte        // nil for none
-		VMLag         time.Duration // delay until readers see a change of the VM list
+		VMListDelay   time.Duration // time until readers see a change of the VM list
 		Log           log.Interface
 		ReadRate      float64 // rate limit in reads per second; 0 for DefaultReadRate
 	}
--- a/configservice/vms.go
+++ b/configservice/vms.go
@@ -29,11 +29,11 @@
 )
 
 // SetLeaving marks an instance as leaving; readers see the change after
-// Config.VMLag.
+// Config.VMListDelay.
 func (s *Server) SetLeaving(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.vms = append(s.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visibleAt: time.Now().Add(s.cfg.VMLag)})
+	s.vms = append(s.vms, vmChange{VM: VM{Instance: instance, Leaving: true}, visibleAt: time.Now().Add(s.cfg.VMListDelay)})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/configservice/vms_test.go
+++ b/configservice/vms_test.go
@@ -24,7 +24,7 @@
 // reader with an unknown revision must get the full list.
 func TestWatchVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, err := New(Config{VMLag: 3 * time.Second})
+		s, err := New(Config{VMListDelay: 3 * time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/demo/mesh.go
+++ b/demo/mesh.go
@@ -21,8 +21,8 @@
 type (
 	// Config configures a Mesh.
 	Config struct {
-		InitialConfig []byte // configuration of the deployment, in INI format
-		Platform      string // host:port to listen on for the configuration service; port 0 for any
+		InitialConfig     []byte // configuration of the deployment, in INI format
+		ConfigServiceAddr string // host:port to listen on for the configuration service; port 0 for any
 		// AnyPort replaces the configured addresses of every instance by free
 		// loopback ports, so that several meshes can run at the same time.
 		AnyPort bool
@@ -37,14 +37,14 @@
 
 	// Mesh is a running deployment.
 	Mesh struct {
-		Graph    *callgraph.Graph
-		Platform *configservice.Server
-		Nodes    map[string]*node.Node
-		Targets  map[string]*target.Target
-		// PlatformURL is the base URL of the simulated configuration service.
-		PlatformURL string
-		servers     []*http.Server
-		targetURLs  map[string]string
+		Graph         *callgraph.Graph
+		ConfigService *configservice.Server
+		Nodes         map[string]*node.Node
+		Targets       map[string]*target.Target
+		// ConfigServiceURL is the base URL of the simulated configuration service.
+		ConfigServiceURL string
+		servers          []*http.Server
+		targetURLs       map[string]string
 	}
 )
 
@@ -65,11 +65,11 @@
 		return nil, err
 	}
 	m := &Mesh{Graph: g, Nodes: map[string]*node.Node{}, Targets: map[string]*target.Target{}, targetURLs: map[string]string{}}
-	m.Platform, err = configservice.New(configservice.Config{InitialConfig: text, Log: cfg.Log.WithField("process", "platform")})
+	m.ConfigService, err = configservice.New(configservice.Config{InitialConfig: text, Log: cfg.Log.WithField("process", "platform")})
 	if err == nil {
 		var configServiceAddr string
-		configServiceAddr, err = m.listenAndServe(cfg.Platform, m.Platform.Handler())
-		m.PlatformURL = "http://" + configServiceAddr
+		configServiceAddr, err = m.listenAndServe(cfg.ConfigServiceAddr, m.ConfigService.Handler())
+		m.ConfigServiceURL = "http://" + configServiceAddr
 	}
 	if err != nil {
 		closeListeners(listeners)
@@ -158,7 +158,7 @@
 	n := node.New(node.Config{
 		Dial: dial,
 		Settings: settings.Node{Instance: in.Name, DC: in.DC, HTTP: in.HTTP, Peer: in.Peer,
-			Target: "http://" + targetAddr, Platform: m.PlatformURL},
+			Target: "http://" + targetAddr, ConfigServiceURL: m.ConfigServiceURL},
 		Graph:    m.Graph,
 		Log:      cfg.Log.WithField("process", in.Name),
 		Baseline: cfg.Baseline,
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -170,7 +170,7 @@
 			c := testInstance("c", 8)
 			d.Apply([]Change{{Instance: &c}, {Removed: "c", RemovedAt: 9}}, 9)
 			So(d.View().Instances("archiv")[0].Unconfirmed, ShouldBeTrue)
-			d.DropUnlisted(c.Start())
+			d.DropUnlisted(c.Incarnation())
 			So(d.View().Instances("archiv"), ShouldBeEmpty)
 		})
 		Convey("Or the grace period ends without a confirmation", t, func() {
--- a/directory/instances.go
+++ b/directory/instances.go
@@ -8,16 +8,16 @@
 
 type (
 	// InstanceID identifies an instance. An instance may keep it across
-	// restarts; see Start.
+	// restarts; see Incarnation.
 	InstanceID string
 
 	// UnixMilli is a time in milliseconds since the Unix epoch; 0 if the
 	// instance does not report it.
 	UnixMilli int64
 
-	// Start identifies one run of an instance. Health and load data belong to a
-	// run and are not carried over to the next.
-	Start struct {
+	// Incarnation identifies one run of an instance. Health and load data belong
+	// to a run and are not carried over to the next.
+	Incarnation struct {
 		ID InstanceID
 		At UnixMilli
 	}
@@ -91,8 +91,8 @@
 	return old.FirstRevision < in.FirstRevision
 }
 
-// Start returns the identity of this run of the instance.
-func (in *Instance) Start() Start { return Start{ID: in.ID, At: in.Started} }
+// Incarnation returns the identity of this run of the instance.
+func (in *Instance) Incarnation() Incarnation { return Incarnation{ID: in.ID, At: in.Started} }
 
 // Instances returns the instances of a service, including leaving ones. The
 // caller must not modify the slice. Only the latest instance at each address is
--- a/directory/unlisted.go
+++ b/directory/unlisted.go
@@ -16,7 +16,7 @@
 // ConfirmUnlisted records that the node of an unlisted instance confirmed that
 // it is alive. It is used like a listed one until the given time. It is safe for
 // concurrent use.
-func (d *Directory) ConfirmUnlisted(at Start, until time.Time) {
+func (d *Directory) ConfirmUnlisted(at Incarnation, until time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	u, ok := d.unlistedAt(at)
@@ -32,7 +32,7 @@
 
 // DropUnlisted drops an unlisted instance that its node did not confirm. It is
 // safe for concurrent use.
-func (d *Directory) DropUnlisted(at Start) {
+func (d *Directory) DropUnlisted(at Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, ok := d.unlistedAt(at); ok {
@@ -41,7 +41,7 @@
 	}
 }
 
-func (d *Directory) unlistedAt(at Start) (unlisted, bool) {
+func (d *Directory) unlistedAt(at Incarnation) (unlisted, bool) {
 	u, ok := d.unlisted[at.ID]
 	return u, ok && d.instances[at.ID].Started == at.At
 }
--- a/dirsync/syncer.go
+++ b/dirsync/syncer.go
@@ -154,9 +154,9 @@
 	return s.currentRanking().readers(s.cfg.DC, func(a Addr) bool { return a != s.cfg.Self && s.backoffs.blocked(a, now) })
 }
 
-// AllReaders returns the readers of all data centres except this node. Some may
-// be down.
-func (s *Syncer) AllReaders() []Addr {
+// OtherReaders returns the readers of all data centres except this node. Some
+// may be down.
+func (s *Syncer) OtherReaders() []Addr {
 	r := s.currentRanking()
 	var all []Addr
 	for dc := range r.nodes {
--- a/node/at_most_once_test.go
+++ b/node/at_most_once_test.go
@@ -89,8 +89,8 @@
 }
 
 // Guards against a data centre that is partitioned from the others and the
-// platform failing its own calls, and against its publications running a
-// second time in another data centre.
+// configuration service failing its own calls, and against its publications
+// running a second time in another data centre.
 func TestPartitionedDCServesLocalCalls(t *testing.T) {
 	c := &partition{dc: "halle-nord", dcByAddr: map[string]callgraph.DC{}}
 	m := startMeshWith(t, demo.Config{InitialConfig: examples.KesslerRaab, Dial: c.dial})
@@ -103,7 +103,7 @@
 		So(publish(t, m, 30), ShouldEqual, 30)
 	})
 	c.active.Store(true)
-	m.Platform.SetMode(configservice.ModeDown)
+	m.ConfigService.SetMode(configservice.ModeDown)
 	Convey("During the partition, every data centre serves its own calls", t, func() {
 		So(publish(t, m, 60), ShouldEqual, 60)
 		for i := range 30 {
--- a/node/config.go
+++ b/node/config.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// watchTimeout is how long the platform holds one watch request without a
-	// change; it counts a waiting watch as one call.
+	// watchTimeout is how long the configuration service holds one watch request
+	// without a change; it counts a waiting watch as one call.
 	watchTimeout = 20 * time.Second
-	// watchBackoff is the delay before a watch is retried after the platform
-	// failed or refused it.
+	// watchBackoff is the delay before a watch is retried after the configuration
+	// service failed or refused it.
 	watchBackoff = time.Second
-	// rewatchJitter bounds the random delay before the next watch after a
-	// change. A change completes the watch of every node at once; the delay
-	// keeps the next watches of 1,100 nodes below the platform's limit of
-	// 2,000 reads/s.
+	// rewatchJitter bounds the random delay before the next watch after a change. A
+	// change completes the watch of every node at once; the delay keeps the next
+	// watches of 1,100 nodes below the configuration service's limit of 2,000
+	// reads/s.
 	rewatchJitter = 2 * time.Second
 )
 
 // Apply activates g if it is newer than the active configuration and reports
-// whether it did, so a node that resumes with an outdated configuration
-// cannot roll back. Configurations arrive concurrently from the platform and
-// from peers and update several components; applyMu keeps an older one from
+// whether it did, so a node that resumes with an outdated configuration cannot
+// roll back. Configurations arrive concurrently from the configuration service
+// and from peers and update several components; applyMu keeps an older one from
 // partially overwriting a newer one. Apply is safe for concurrent use.
 func (n *Node) Apply(g *callgraph.Graph) bool {
 	n.applyMu.Lock()
@@ -52,23 +52,23 @@
 	return true
 }
 
-// watchConfig long-polls the platform for newer configurations until the node
-// stops. While the platform is unreachable, the node keeps the active
-// configuration.
+// watchConfig long-polls the configuration service for newer configurations
+// until the node stops. While the configuration service is unreachable, the node
+// keeps the active configuration.
 func (n *Node) watchConfig() {
 	for !n.stopped() {
-		changed, err := n.pollPlatform()
+		changed, err := n.pollConfigService()
 		if n.stopped() {
-			return // cancelled by the node stopping, not a platform failure
+			return // cancelled by the node stopping, not a configuration service failure
 		}
 		if err != nil {
-			if !n.platformDown.Swap(true) {
+			if !n.configServiceDown.Swap(true) {
 				n.log.WithError(err).Warn("platform_unreachable")
 			}
 			n.sleep(watchBackoff)
 			continue
 		}
-		if n.platformDown.Swap(false) {
+		if n.configServiceDown.Swap(false) {
 			n.log.Info("platform_reachable")
 		}
 		if changed {
@@ -94,20 +94,20 @@
 	}
 }
 
-// pollPlatform issues one watch request for a newer configuration and reports
-// whether the active version changed.
-func (n *Node) pollPlatform() (bool, error) {
+// pollConfigService issues one watch request for a newer configuration and
+// reports whether the active version changed.
+func (n *Node) pollConfigService() (bool, error) {
 	ctx, cancel := n.watchContext()
 	defer cancel()
 	before := n.version()
-	url := n.cfg.Settings.Platform + "/v1/config?after=" + strconv.FormatUint(before, 10) + "&wait=" + watchTimeout.String()
+	url := n.cfg.Settings.ConfigServiceURL + "/v1/config?after=" + strconv.FormatUint(before, 10) + "&wait=" + watchTimeout.String()
 	err := n.fetchConfig(ctx, url)
 	return n.version() != before, err
 }
 
-// watchContext returns a context for one watch request. It is cancelled when
-// the node stops, since a pending watch would otherwise delay the platform's
-// shutdown by up to watchTimeout.
+// watchContext returns a context for one watch request. It is cancelled when the
+// node stops, since a pending watch would otherwise delay the configuration
+// service's shutdown by up to watchTimeout.
 func (n *Node) watchContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), watchTimeout+5*time.Second)
 	go func() {
@@ -120,8 +120,8 @@
 	return ctx, cancel
 }
 
-// fetchConfig fetches a configuration from url, at the platform or a peer
-// node, and applies it if it is newer.
+// fetchConfig fetches a configuration from url, at the configuration service or
+// a peer node, and applies it if it is newer.
 func (n *Node) fetchConfig(ctx context.Context, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -173,8 +173,8 @@
 }
 
 // onPeerVersion fetches the configuration of a peer instance that announced a
-// newer version. This propagates configurations while the platform is down or
-// serves stale data.
+// newer version. This propagates configurations while the configuration service
+// is down or serves stale data.
 func (n *Node) onPeerVersion(instance string, v uint64) {
 	if v <= n.version() || !n.fetchingConfig.CompareAndSwap(false, true) {
 		return
--- a/node/config_test.go
+++ b/node/config_test.go
@@ -57,6 +57,6 @@
 	s.HTTP = "127.0.0.1:0"
 	s.Peer = "127.0.0.1:0"
 	s.Target = "http://127.0.0.1:1"
-	s.Platform = fmt.Sprintf("http://127.0.0.1:%d", 1)
+	s.ConfigServiceURL = fmt.Sprintf("http://127.0.0.1:%d", 1)
 	return s
 }
--- a/node/control_bench_test.go
+++ b/node/control_bench_test.go
@@ -29,9 +29,9 @@
 	return c.Conn.Write(p)
 }
 
-// BenchmarkControlBytes reports the HTTP bytes in both directions, without
-// TCP overhead, of control messages without a change: one configuration
-// exchange between nodes, and one watch of the VM list at the platform.
+// BenchmarkControlBytes reports the HTTP bytes in both directions, without TCP
+// overhead, of control messages without a change: one configuration exchange
+// between nodes, and one watch of the VM list at the configuration service.
 func BenchmarkControlBytes(b *testing.B) {
 	m := startMeshWith(b, demo.Config{InitialConfig: examples.KesslerRaab})
 	var counter atomic.Int64
@@ -41,7 +41,7 @@
 	}}}
 	version := strconv.FormatUint(uint64(m.Graph.Version), 10)
 	exchange := "http://" + m.Graph.Services["archiv"].Instances[0].HTTP + "/v1/config?from=archiv-2&after=" + version
-	watch := m.PlatformURL + "/v1/vms?after=1&wait=1ms"
+	watch := m.ConfigServiceURL + "/v1/vms?after=1&wait=1ms"
 	for b.Loop() {
 		b.ReportMetric(float64(requestBytes(b, client, &counter, exchange)), "B/exchange")
 		b.ReportMetric(float64(requestBytes(b, client, &counter, watch)), "B/vm-watch")
--- a/node/fake_test.go
+++ b/node/fake_test.go
@@ -111,7 +111,7 @@
 func discardLogger() log.Interface { return &log.Logger{Handler: discard.New(), Level: log.InfoLevel} }
 
 // startNode runs the node of one instance of g with the given target URL and
-// a simulated platform, and returns the base URL of the node.
+// a simulated configuration service, and returns the base URL of the node.
 func startNode(t testing.TB, g *callgraph.Graph, instance, target string) string {
 	t.Helper()
 	return startNodeWith(t, g, node.Config{Settings: settings.Node{Instance: instance, Target: target}})
@@ -138,7 +138,7 @@
 	srv := httptest.NewServer(p.Handler())
 	t.Cleanup(srv.CloseClientConnections)
 	cfg.Graph, cfg.Log = g, discardLogger()
-	cfg.Settings.DC, cfg.Settings.Platform = in.DC, srv.URL
+	cfg.Settings.DC, cfg.Settings.ConfigServiceURL = in.DC, srv.URL
 	n := node.New(cfg)
 	go n.ServeOn(listeners[0], listeners[1])
 	t.Cleanup(func() { listeners[0].Close(); listeners[1].Close() })
--- a/node/gossip.go
+++ b/node/gossip.go
@@ -13,13 +13,13 @@
 
 const (
 	// gossipInterval is the mean interval at which a node compares its
-	// configuration with a random other node; it covers a platform that
-	// serves stale data to some readers.
+	// configuration with a random other node; it covers a configuration service
+	// that serves stale data to some readers.
 	gossipInterval = 5 * time.Second
-	// gossipIntervalPlatformDown replaces gossipInterval while the platform
-	// is unreachable. It uses about 1.6 KB/s of the 3 KB/s allowed per node
-	// for control traffic.
-	gossipIntervalPlatformDown = time.Second
+	// gossipIntervalConfigServiceDown replaces gossipInterval while the
+	// configuration service is unreachable. It uses about 1.6 KB/s of the 3 KB/s
+	// allowed per node for control traffic.
+	gossipIntervalConfigServiceDown = time.Second
 	// gossipFanout is the number of random nodes contacted after a new
 	// configuration was applied. Periodic exchanges reach the nodes that this
 	// misses.
@@ -33,8 +33,8 @@
 func (n *Node) gossipConfig() {
 	for {
 		interval := gossipInterval
-		if n.platformDown.Load() {
-			interval = gossipIntervalPlatformDown
+		if n.configServiceDown.Load() {
+			interval = gossipIntervalConfigServiceDown
 		}
 		select {
 		case <-n.stop:
--- a/node/http.go
+++ b/node/http.go
@@ -102,8 +102,8 @@
 	if r.ID == "" {
 		r.ID = call.RequestID(uuid.NewString())
 	}
-	if r.Remaining <= 0 || r.Remaining > op.Deadline {
-		r.Remaining = op.Deadline
+	if r.Remaining <= 0 || r.Remaining > op.Timeout {
+		r.Remaining = op.Timeout
 	}
 	if r.RetryBudget < 0 || r.RetryBudget > g.RetryBudget {
 		r.RetryBudget = g.RetryBudget
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -36,7 +36,7 @@
 	m := startMesh(t, examples.KesslerRaab)
 	Convey("Leaving targets get no new calls after a few seconds", t, func() {
 		So(publish(t, m, 60), ShouldEqual, 60)
-		m.Platform.SetLeaving("archiv-2")
+		m.ConfigService.SetLeaving("archiv-2")
 		go m.Nodes["archiv-3"].Shutdown(context.Background())
 		time.Sleep(leavingBound)
 		before2, before3 := m.Targets["archiv-2"].Arrivals(), m.Targets["archiv-3"].Arrivals()
--- a/node/node.go
+++ b/node/node.go
@@ -22,7 +22,7 @@
 
 const (
 	// dedupWindow is how long a non-idempotent call's key is remembered; it
-	// must exceed the operation deadlines, so that late client retries are
+	// must exceed the operation timeouts, so that late client retries are
 	// recognized.
 	dedupWindow = 10 * time.Minute
 	// dedupMaxAnswerBytes limits the total size of retained answers to a
@@ -52,9 +52,9 @@
 	// Config configures a Node.
 	Config struct {
 		Settings settings.Node
-		Graph    *callgraph.Graph // initial configuration; nil to wait for the platform
+		Graph    *callgraph.Graph // initial configuration; nil to wait for the configuration service
 		Log      log.Interface
-		Client   *http.Client // for the local target, the platform and the HTTP API of peers; nil for a default
+		Client   *http.Client // for the local target, the configuration service and the HTTP API of peers; nil for a default
 		// ClockSkew is the maximum clock difference between callers and nodes;
 		// 0 when all run on one machine.
 		ClockSkew time.Duration
@@ -68,26 +68,26 @@
 
 	// Node is the proxy of one target. It is safe for concurrent use.
 	Node struct {
-		cfg            Config
-		log            log.Interface
-		applyMu        sync.Mutex // serializes Apply
-		graph          atomic.Pointer[callgraph.Graph]
-		table          *route.Table
-		admission      *filter.Admission
-		dedup          *filter.Dedup
-		ownership      *owner.Arbiter
-		budgets        *budget.Ledger
-		leaving        atomic.Bool
-		localChain     filter.Handler
-		peers          *wire.Pool
-		client         *http.Client
-		policy         retryPolicy
-		hopSeq         atomic.Uint64
-		entryCalls     atomic.Int64  // client calls in flight
-		fetchingConfig atomic.Bool   // a configuration is being fetched from a peer
-		platformDown   atomic.Bool   // the latest configuration watch failed
-		applied        chan struct{} // buffered, capacity 1: a configuration was applied
-		stats          *stats
+		cfg               Config
+		log               log.Interface
+		applyMu           sync.Mutex // serializes Apply
+		graph             atomic.Pointer[callgraph.Graph]
+		table             *route.Table
+		admission         *filter.Admission
+		dedup             *filter.Dedup
+		ownership         *owner.Arbiter
+		budgets           *budget.Ledger
+		leaving           atomic.Bool
+		localChain        filter.Handler
+		peers             *wire.Pool
+		client            *http.Client
+		policy            retryPolicy
+		hopSeq            atomic.Uint64
+		entryCalls        atomic.Int64  // client calls in flight
+		fetchingConfig    atomic.Bool   // a configuration is being fetched from a peer
+		configServiceDown atomic.Bool   // the latest configuration watch failed
+		applied           chan struct{} // buffered, capacity 1: a configuration was applied
+		stats             *stats
 
 		wire     wire.Server
 		http     *http.Server
--- a/node/propagation_test.go
+++ b/node/propagation_test.go
@@ -41,20 +41,20 @@
 }
 
 // Guards against an accepted configuration not reaching every node in time,
-// against nodes not passing on a newer one while the platform is down, and
-// against a stale platform rolling nodes back.
+// against nodes not passing on a newer one while the configuration service is
+// down, and against a stale configuration service rolling nodes back.
 func TestConfigPropagatesAndNeverRollsBack(t *testing.T) {
 	m := startMesh(t, examples.KesslerRaab)
 	text := m.Graph.Text
 
 	Convey("An accepted configuration is active at every node within 9 s", t, func() {
-		_, err := m.Platform.Submit(withVersion(text, 2))
+		_, err := m.ConfigService.Submit(withVersion(text, 2))
 		So(err, ShouldBeNil)
 		So(waitVersion(m, 2), ShouldBeEmpty)
 	})
 
-	Convey("While the platform is down, nodes pass a newer configuration to each other", t, func() {
-		m.Platform.SetMode(configservice.ModeDown)
+	Convey("While the configuration service is down, nodes pass a newer configuration to each other", t, func() {
+		m.ConfigService.SetMode(configservice.ModeDown)
 		v3, err := callgraph.Parse(withVersion(text, 3))
 		So(err, ShouldBeNil)
 		So(m.Nodes["archiv-1"].Apply(v3), ShouldBeTrue)
@@ -67,8 +67,8 @@
 		So(waitVersion(m, 3), ShouldBeEmpty)
 	})
 
-	Convey("A stale platform that serves the older configuration rolls no node back", t, func() {
-		m.Platform.SetMode(configservice.ModeStale)
+	Convey("A stale configuration service that serves the older configuration rolls no node back", t, func() {
+		m.ConfigService.SetMode(configservice.ModeStale)
 		time.Sleep(2 * time.Second) // two watch backoffs
 		for name, v := range m.ConfigVersions() {
 			So(fmt.Sprint(name, v), ShouldEqual, fmt.Sprint(name, 3))
--- a/node/publication_test.go
+++ b/node/publication_test.go
@@ -24,7 +24,7 @@
 // startMeshWith is like startMesh, for the deployment that cfg describes.
 func startMeshWith(t testing.TB, cfg demo.Config) *demo.Mesh {
 	t.Helper()
-	cfg.Platform, cfg.AnyPort = "127.0.0.1:0", true
+	cfg.ConfigServiceAddr, cfg.AnyPort = "127.0.0.1:0", true
 	cfg.Log = discardLogger()
 	m, err := demo.Start(cfg)
 	if err != nil {
--- a/node/stop_log_test.go
+++ b/node/stop_log_test.go
@@ -12,12 +12,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a stopping node reporting the platform as unreachable
-// because its own watches were cancelled.
+// Guards against a stopping node reporting the configuration service as
+// unreachable because its own watches were cancelled.
 func TestStopLogsNoOutage(t *testing.T) {
 	Convey("A stopping node logs no unreachable dependency", t, func() {
 		lines := memory.New()
-		m, err := demo.Start(demo.Config{InitialConfig: examples.KesslerRaab, Platform: "127.0.0.1:0", AnyPort: true,
+		m, err := demo.Start(demo.Config{InitialConfig: examples.KesslerRaab, ConfigServiceAddr: "127.0.0.1:0", AnyPort: true,
 			Log: &log.Logger{Handler: lines, Level: log.InfoLevel}})
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/node/vm_list.go
+++ b/node/vm_list.go
@@ -11,11 +11,11 @@
 )
 
 // vmListPropagation is the time within which every node that can reach the
-// platform has read a change of the VM list.
+// configuration service has read a change of the VM list.
 const vmListPropagation = rewatchJitter + 2*watchBackoff
 
-// watchVMs long-polls the platform's VM list until the node stops. Instances
-// listed as leaving get no new calls, and this node drains if its own
+// watchVMs long-polls the configuration service's VM list until the node stops.
+// Instances listed as leaving get no new calls, and this node drains if its own
 // instance is listed. Shutdown, which marks answers as leaving, takes effect
 // sooner than the list. While the list is unavailable, the last one read is
 // kept.
@@ -51,7 +51,7 @@
 func (n *Node) pollVMs(revision uint64) (uint64, error) {
 	ctx, cancel := n.watchContext()
 	defer cancel()
-	url := n.cfg.Settings.Platform + "/v1/vms?after=" + strconv.FormatUint(revision, 10) + "&wait=" + watchTimeout.String()
+	url := n.cfg.Settings.ConfigServiceURL + "/v1/vms?after=" + strconv.FormatUint(revision, 10) + "&wait=" + watchTimeout.String()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0, err
--- a/owner/model_test.go
+++ b/owner/model_test.go
@@ -39,8 +39,8 @@
 		handler filter.Handler
 	}
 
-	// fleet models a platform, the instances that may run keys, and the routers
-	// that send them. It counts the runs of each key.
+	// fleet models a configuration service, the instances that may run keys, and
+	// the routers that send them. It counts the runs of each key.
 	fleet struct {
 		graphs       []*callgraph.Graph
 		leavingSince map[string]time.Time
@@ -104,7 +104,8 @@
 	}
 }
 
-// readList applies the platform's VM list, as the node's controller does.
+// readList applies the configuration service's VM list, as the node's controller
+// does.
 func (f *fleet) readList(name string, p *process) {
 	for _, in := range pool {
 		_, leaving := f.leavingSince[in.Name]
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -18,12 +18,12 @@
 type (
 	// Node is the [node] section: the node of one target VM.
 	Node struct {
-		Instance string       `ini:"instance"` // name of this instance in the configuration
-		DC       callgraph.DC `ini:"dc"`
-		HTTP     string       `ini:"http"`     // host:port for callers and the local target
-		Peer     string       `ini:"peer"`     // host:port for other nodes (msgpack over TCP)
-		Target   string       `ini:"target"`   // base URL of the local target
-		Platform string       `ini:"platform"` // base URL of the configuration service
+		Instance         string       `ini:"instance"` // name of this instance in the configuration
+		DC               callgraph.DC `ini:"dc"`
+		HTTP             string       `ini:"http"`     // host:port for callers and the local target
+		Peer             string       `ini:"peer"`     // host:port for other nodes (msgpack over TCP)
+		Target           string       `ini:"target"`   // base URL of the local target
+		ConfigServiceURL string       `ini:"platform"` // base URL of the configuration service
 		// Seeds are HTTP addresses of other nodes, from which this node fetches
 		// its first configuration while the configuration service is
 		// unreachable.
@@ -34,10 +34,10 @@
 
 	// Target is the [target] section: the simulated back end.
 	Target struct {
-		Service  string `ini:"service"`
-		HTTP     string `ini:"http"`
-		Node     string `ini:"node"`     // base URL of the local node, for calls to dependencies
-		Platform string `ini:"platform"` // base URL of the configuration service
+		Service          string `ini:"service"`
+		HTTP             string `ini:"http"`
+		Node             string `ini:"node"`     // base URL of the local node, for calls to dependencies
+		ConfigServiceURL string `ini:"platform"` // base URL of the configuration service
 		// ColdStart is the warm-up period, in which requests take three times
 		// as long. HealthLag is the maximum age of a health endpoint response.
 		ColdStart time.Duration `ini:"cold_start"`
@@ -45,8 +45,8 @@
 		Timeline  string        `ini:"timeline"`
 	}
 
-	// Platform is the [platform] section: the simulated configuration service.
-	Platform struct {
+	// ConfigService is the [platform] section: the simulated configuration service.
+	ConfigService struct {
 		HTTP     string `ini:"http"`
 		Config   string `ini:"config"` // initial configuration file; empty for none
 		Timeline string `ini:"timeline"`
@@ -133,7 +133,7 @@
 		require("http", s.HTTP, isHostPort)
 		require("peer", s.Peer, isHostPort)
 		require("target", s.Target, isBaseURL)
-		require("platform", s.Platform, isBaseURL)
+		require("platform", s.ConfigServiceURL, isBaseURL)
 		for _, seed := range s.Seeds {
 			require("seed", seed, isHostPort)
 		}
@@ -160,7 +160,7 @@
 		require("service", s.Service, anyValue)
 		require("http", s.HTTP, isHostPort)
 		require("node", s.Node, isBaseURL)
-	case *Platform:
+	case *ConfigService:
 		require("http", s.HTTP, isHostPort)
 	}
 	if len(problems) > 0 {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -33,7 +33,7 @@
 
 func TestValidateReportsEveryInvalidKey(t *testing.T) {
 	Convey("The error names every missing or malformed field", t, func() {
-		s := Node{Instance: "x", HTTP: "127.0.0.1", Peer: "127.0.0.1:1", Target: "127.0.0.1:2", Platform: "http://p:1"}
+		s := Node{Instance: "x", HTTP: "127.0.0.1", Peer: "127.0.0.1:1", Target: "127.0.0.1:2", ConfigServiceURL: "http://p:1"}
 		err := validate(&s)
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "dc is missing")
--- a/sidecar/body.go
+++ b/sidecar/body.go
@@ -28,7 +28,7 @@
 	if limit <= 0 {
 		limit = defaultBodyLimit
 	}
-	if maxTotal := n.tuning.Load().BodyBytes; maxTotal > 0 && n.heldBodyBytes.Load()+max(r.ContentLength, 0) > maxTotal {
+	if maxTotal := n.tuning.Load().MaxHeldBodyBytes; maxTotal > 0 && n.heldBodyBytes.Load()+max(r.ContentLength, 0) > maxTotal {
 		return nil, &refusal{code: http.StatusServiceUnavailable, cause: causeBody, retryAfter: retryAfterUnavailable, reason: "no memory for the body"}
 	}
 	ctrl := http.NewResponseController(w)
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -123,7 +123,7 @@
 	if a.Status == call.Unknown && !n.countsAgainstInstance(ctx, q, time.Since(sent)) {
 		o.Failed = false
 	}
-	n.balancer.Done(in.Start(), o)
+	n.balancer.Done(in.Incarnation(), o)
 	n.recordAttempt(q.quarantine, &a)
 	n.stats.observeAttempt(q.Service, a.Status, time.Since(sent))
 	if a.Load != nil {
--- a/sidecar/local.go
+++ b/sidecar/local.go
@@ -23,7 +23,7 @@
 		n.vouchChecker.Observe(in)
 	}
 	old := n.self.Swap(&in)
-	if old != nil && old.Start() != in.Start() {
+	if old != nil && old.Incarnation() != in.Incarnation() {
 		// Failure statistics and connections belong to the previous process.
 		n.health.Reset()
 		n.slowdown.Reset()
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -70,10 +70,10 @@
 
 	// Tuning is the part of the configuration that can change at run time.
 	Tuning struct {
-		// BodyBytes bounds the total size of request bodies held in memory; 0
+		// MaxHeldBodyBytes bounds the total size of request bodies held in memory; 0
 		// means no bound.
-		BodyBytes int64
-		Retries   budget.RetryWindowConfig // retry budget of each service
+		MaxHeldBodyBytes int64
+		Retries          budget.RetryWindowConfig // retry budget of each service
 	}
 
 	// Node is a running sidecar. New builds one.
@@ -84,9 +84,9 @@
 		dir          *directory.Directory
 		balancer     *balance.Balancer
 		gate         *slots.Gate
-		targetTimes  *slots.ServiceTimes      // execution times at the local target, by route
+		targetTimes  *slots.MeanDurations     // execution times at the local target, by route
 		slowdown     *slots.SlowdownEstimator // of the local target
-		totalTimes   *slots.ServiceTimes      // end-to-end times of requests that enter here, by route
+		totalTimes   *slots.MeanDurations     // end-to-end times of requests that enter here, by route
 		meter        *admit.DemandMeter       // computes the admission threshold of the local target
 		health       balance.Health           // of the local target
 		thresholds   *admit.ThresholdTable
@@ -150,8 +150,8 @@
 		dir:          cfg.Directory,
 		balancer:     balance.New(cfg.Policies.balancer(cfg.DC)),
 		gate:         slots.NewGate(initialSlots, cfg.Policies.queueOrder()),
-		targetTimes:  slots.NewServiceTimes(),
-		totalTimes:   slots.NewServiceTimes(),
+		targetTimes:  slots.NewMeanDurations(),
+		totalTimes:   slots.NewMeanDurations(),
 		slowdown:     slots.NewSlowdownEstimator(),
 		meter:        admit.NewDemandMeter(initialSlots),
 		thresholds:   admit.NewThresholdTable(),
@@ -161,7 +161,7 @@
 		peerPort:     port,
 		stats:        newStats(cfg.Name),
 		retryBudgets: map[string]*budget.RetryWindow{},
-		vouchQueries: pendingQueries{pending: map[directory.Start]bool{}},
+		vouchQueries: pendingQueries{pending: map[directory.Incarnation]bool{}},
 		isolation:    quarantine.NewIsolationLock(),
 		peerCursors:  cursorTable{cursors: map[dirsync.Addr]quarantine.Cursor{}},
 		stop:         make(chan struct{}),
--- a/sidecar/policies.go
+++ b/sidecar/policies.go
@@ -53,9 +53,9 @@
 	return fallback
 }
 
-// Directory returns the configuration of the directory for a Node with these
-// policies.
-func (p Policies) Directory(l log.Interface) directory.Config {
+// DirectoryConfig returns the configuration of the directory for a Node with
+// these policies.
+func (p Policies) DirectoryConfig(l log.Interface) directory.Config {
 	cfg := directory.DefaultConfig(l)
 	cfg.UnlistedGrace = choose(p.Vouch, cfg.UnlistedGrace, 0)
 	cfg.OutageGrace = choose(p.OutageGrace, cfg.OutageGrace, 0)
--- a/sidecar/policies_test.go
+++ b/sidecar/policies_test.go
@@ -38,7 +38,7 @@
 		So(off.retryAfter()(t), ShouldEqual, 1e9)
 		So(off.balancer("nord").Weights.ReportedHealth, ShouldEqual, 0)
 		So(on.balancer("nord").Weights.ReportedHealth, ShouldEqual, 1)
-		So(off.Directory(log.Log).UnlistedGrace, ShouldEqual, 0)
-		So(on.Directory(log.Log).SpreadWatches, ShouldBeTrue)
+		So(off.DirectoryConfig(log.Log).UnlistedGrace, ShouldEqual, 0)
+		So(on.DirectoryConfig(log.Log).SpreadWatches, ShouldBeTrue)
 	})
 }
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -71,7 +71,7 @@
 	queue.fingerprints = nil
 	queue.mu.Unlock()
 	body := n.encodeReport(n.quarantine.Records(fingerprints))
-	for _, addr := range n.dirSync.AllReaders() {
+	for _, addr := range n.dirSync.OtherReaders() {
 		go n.sendReportWithRetry(addr, body)
 	}
 }
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -13,7 +13,7 @@
 
 // usageOperation reports the requests that a node admitted for accounts with
 // rate limits. The request body is an account.Report, the response body
-// account.Standings.
+// account.Quotas.
 const usageOperation = "account.usage"
 
 // newExchange returns the exchange that shares account usage between nodes.
@@ -57,7 +57,7 @@
 }
 
 // reportUsage sends a usage report to a collector and returns its reply.
-func (n *Node) reportUsage(ctx context.Context, addr account.Source, r account.Report) ([]account.Standing, error) {
+func (n *Node) reportUsage(ctx context.Context, addr account.Source, r account.Report) ([]account.Quota, error) {
 	body, err := msgpack.Marshal(r)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode usage")
@@ -66,9 +66,9 @@
 	if err != nil {
 		return nil, err
 	}
-	var reply account.Standings
+	var reply account.Quotas
 	err = msgpack.Unmarshal(a.Body, &reply)
-	return reply.Entries, eris.Wrap(err, "decode standings")
+	return reply.Entries, eris.Wrap(err, "decode quotas")
 }
 
 // serveUsage handles usageOperation. A draining node refuses reports, because
@@ -81,7 +81,7 @@
 	if err := msgpack.Unmarshal(r.Body, &received); err != nil {
 		return n.malformedAnswer(r, err)
 	}
-	body, err := msgpack.Marshal(account.Standings{Entries: n.exchange.HandleReport(received)})
+	body, err := msgpack.Marshal(account.Quotas{Entries: n.exchange.HandleReport(received)})
 	if err != nil {
 		n.log.WithError(err).Error("standings_not_encoded")
 		return call.Refuse(r, err.Error(), 0)
--- a/sidecar/vouch.go
+++ b/sidecar/vouch.go
@@ -21,7 +21,8 @@
 const (
 	// vouchOperation asks the node of an instance whether it vouches for the
 	// instance, that is, confirms that it is still in service although its
-	// directory entry was removed. The request body is the directory.Start.
+	// directory entry was removed. The request body is the
+	// directory.Incarnation.
 	vouchOperation = "instance.vouch"
 	// vouchTimeout bounds one request, including the check at the other node.
 	vouchTimeout = vouch.CheckTimeout + 150*time.Millisecond
@@ -34,24 +35,25 @@
 // Safe for concurrent use.
 type pendingQueries struct {
 	mu      sync.Mutex
-	pending map[directory.Start]bool
+	pending map[directory.Incarnation]bool
 }
 
-// begin marks start as pending and reports whether it was not pending before.
-func (p *pendingQueries) begin(start directory.Start) bool {
+// begin marks an incarnation as pending and reports whether it was not pending
+// before.
+func (p *pendingQueries) begin(incarnation directory.Incarnation) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pending[start] {
+	if p.pending[incarnation] {
 		return false
 	}
-	p.pending[start] = true
+	p.pending[incarnation] = true
 	return true
 }
 
-func (p *pendingQueries) end(start directory.Start) {
+func (p *pendingQueries) end(incarnation directory.Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.pending, start)
+	delete(p.pending, incarnation)
 }
 
 // queryUnlisted queries the nodes of unlisted instances, whose directory
@@ -62,7 +64,7 @@
 		return
 	}
 	for _, in := range v.All() {
-		if in.Unlisted && (in.Addr == n.cfg.TargetAddr || n.balancer.HasState(in.Start())) && n.vouchQueries.begin(in.Start()) {
+		if in.Unlisted && (in.Addr == n.cfg.TargetAddr || n.balancer.HasState(in.Incarnation())) && n.vouchQueries.begin(in.Incarnation()) {
 			go n.trackUnlisted(in)
 		}
 	}
@@ -71,7 +73,7 @@
 // trackUnlisted queries the node of an unlisted instance periodically until
 // the instance is listed or removed.
 func (n *Node) trackUnlisted(in directory.Instance) {
-	defer n.vouchQueries.end(in.Start())
+	defer n.vouchQueries.end(in.Incarnation())
 	t := time.NewTicker(vouch.RenewInterval)
 	defer t.Stop()
 	for {
@@ -79,9 +81,9 @@
 		case err != nil:
 			n.decisions.Log("vouch_not_heard", func() log.Fields { return log.Fields{"instance": in.ID, "error": err.Error()} })
 		case vouched:
-			n.dir.ConfirmUnlisted(in.Start(), time.Now().Add(vouch.TTL))
+			n.dir.ConfirmUnlisted(in.Incarnation(), time.Now().Add(vouch.TTL))
 		default:
-			n.dir.DropUnlisted(in.Start())
+			n.dir.DropUnlisted(in.Incarnation())
 		}
 		select {
 		case <-n.stop:
@@ -100,13 +102,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), vouchTimeout)
 	defer cancel()
 	if in.Addr == n.cfg.TargetAddr {
-		return n.vouch(ctx, in.Start()), nil
+		return n.vouch(ctx, in.Incarnation()), nil
 	}
 	peer, err := n.peerFor(in)
 	if err != nil {
 		return false, err
 	}
-	body, err := msgpack.Marshal(in.Start())
+	body, err := msgpack.Marshal(in.Incarnation())
 	if err != nil {
 		return false, eris.Wrap(err, "encode start")
 	}
@@ -130,11 +132,11 @@
 
 // serveVouch handles vouchOperation.
 func (n *Node) serveVouch(ctx context.Context, r call.Request) call.Answer {
-	var start directory.Start
-	if err := msgpack.Unmarshal(r.Body, &start); err != nil {
+	var incarnation directory.Incarnation
+	if err := msgpack.Unmarshal(r.Body, &incarnation); err != nil {
 		return n.malformedAnswer(r, err)
 	}
-	if !n.vouch(ctx, start) {
+	if !n.vouch(ctx, incarnation) {
 		return call.Refuse(r, "not vouched for", 0)
 	}
 	return call.Answer{ID: r.ID, Status: call.OK}
@@ -142,13 +144,13 @@
 
 // vouch reports whether this node vouches for the local instance. A draining
 // node does not, because it will not be there to revoke it.
-func (n *Node) vouch(ctx context.Context, start directory.Start) bool {
+func (n *Node) vouch(ctx context.Context, incarnation directory.Incarnation) bool {
 	if _, draining := n.drainingSince(); draining {
 		return false
 	}
-	vouched := n.vouchChecker.Vouch(ctx, start)
+	vouched := n.vouchChecker.Vouch(ctx, incarnation)
 	if n.lastVouch.Swap(vouched) != vouched {
-		n.log.WithFields(log.Fields{"instance": start.ID, "started": start.At, "word": vouched}).Info("vouch_changed")
+		n.log.WithFields(log.Fields{"instance": incarnation.ID, "started": incarnation.At, "word": vouched}).Info("vouch_changed")
 	}
 	return vouched
 }
--- a/vouch/checker.go
+++ b/vouch/checker.go
@@ -85,7 +85,7 @@
 func (c *Checker) Observe(in directory.Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.instance == nil || c.instance.Start() != in.Start() || c.instance.Revision != in.Revision || in.Leaving {
+	if c.instance == nil || c.instance.Incarnation() != in.Incarnation() || c.instance.Revision != in.Revision || in.Leaving {
 		c.checkedAt, c.lastServing, c.exited = time.Time{}, time.Time{}, false
 	}
 	c.instance = &in
@@ -102,10 +102,10 @@
 
 // Vouch reports whether this node vouches for a run of an instance for the next
 // TTL.
-func (c *Checker) Vouch(ctx context.Context, start directory.Start) bool {
+func (c *Checker) Vouch(ctx context.Context, incarnation directory.Incarnation) bool {
 	for {
 		c.mu.Lock()
-		if c.instance == nil || c.instance.Start() != start || c.instance.Leaving || c.exited {
+		if c.instance == nil || c.instance.Incarnation() != incarnation || c.instance.Leaving || c.exited {
 			c.mu.Unlock()
 			return false
 		}
@@ -143,7 +143,7 @@
 	defer c.mu.Unlock()
 	close(c.inProgress)
 	c.inProgress = nil
-	if c.instance == nil || c.instance.Start() != in.Start() {
+	if c.instance == nil || c.instance.Incarnation() != in.Incarnation() {
 		return
 	}
 	now := time.Now()
--- a/vouch/checker_test.go
+++ b/vouch/checker_test.go
@@ -49,7 +49,7 @@
 	return &fakeEnv{listed: true, sourceReachable: true, status: Serving, instance: directory.Instance{ID: "i", Started: 1000, Service: "s", Slots: 4}}
 }
 
-func (e *fakeEnv) start() directory.Start { return e.instance.Start() }
+func (e *fakeEnv) incarnation() directory.Incarnation { return e.instance.Incarnation() }
 
 // Entries are removed because of network partitions, rejections, unannounced
 // exits, crashes and restarts, which look the same to other nodes. A live
@@ -74,7 +74,7 @@
 			Convey(c.name, t, func() {
 				e := newFakeEnv()
 				c.set(e)
-				So(e.newChecker().Vouch(t.Context(), e.start()), ShouldEqual, c.want)
+				So(e.newChecker().Vouch(t.Context(), e.incarnation()), ShouldEqual, c.want)
 			})
 		})
 	}
@@ -82,18 +82,18 @@
 
 // A vouch for a run that the node has not seen listed, or that is leaving, would
 // send requests to the wrong process or to one that refuses them.
-func TestVouchRequiresObservedStart(t *testing.T) {
+func TestVouchRequiresObservedIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("No vouch without an observed instance, for another ID or run, or while leaving", t, func() {
 			e := newFakeEnv()
-			So(NewChecker(Config{}).Vouch(t.Context(), e.start()), ShouldBeFalse)
+			So(NewChecker(Config{}).Vouch(t.Context(), e.incarnation()), ShouldBeFalse)
 			checker := e.newChecker()
-			So(checker.Vouch(t.Context(), directory.Start{ID: "other", At: 1000}), ShouldBeFalse)
-			So(checker.Vouch(t.Context(), directory.Start{ID: "i", At: 500}), ShouldBeFalse)
-			So(checker.Vouch(t.Context(), e.start()), ShouldBeTrue)
+			So(checker.Vouch(t.Context(), directory.Incarnation{ID: "other", At: 1000}), ShouldBeFalse)
+			So(checker.Vouch(t.Context(), directory.Incarnation{ID: "i", At: 500}), ShouldBeFalse)
+			So(checker.Vouch(t.Context(), e.incarnation()), ShouldBeTrue)
 			e.instance.Leaving = true
 			checker.Observe(e.instance)
-			So(checker.Vouch(t.Context(), e.start()), ShouldBeFalse)
+			So(checker.Vouch(t.Context(), e.incarnation()), ShouldBeFalse)
 		})
 	})
 }
@@ -108,7 +108,7 @@
 			checker := e.newChecker()
 			for range 4 {
 				for range 100 {
-					go checker.Vouch(t.Context(), e.start())
+					go checker.Vouch(t.Context(), e.incarnation())
 				}
 				time.Sleep(RenewInterval)
 			}
--- a/vouch/model_test.go
+++ b/vouch/model_test.go
@@ -131,11 +131,11 @@
 }
 
 func (m *model) requestVouch(in directory.Instance) {
-	if m.checker.Vouch(context.Background(), in.Start()) {
-		m.peer.ConfirmUnlisted(in.Start(), time.Now().Add(TTL))
+	if m.checker.Vouch(context.Background(), in.Incarnation()) {
+		m.peer.ConfirmUnlisted(in.Incarnation(), time.Now().Add(TTL))
 		return
 	}
-	m.peer.DropUnlisted(in.Start())
+	m.peer.DropUnlisted(in.Incarnation())
 }
 
 // check compares the peer's view with the actual state.
