--- a/dirsync/model_test.go
+++ b/replication/model_test.go
@@ -1,4 +1,4 @@
-package dirsync
+package replication
 
 import (
 	"testing"
--- a/sidecar/catchup.go
+++ b/sidecar/catchup.go
@@ -7,9 +7,9 @@
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/message"
 	"github.com/oatpin/oatpin/quarantine"
+	"github.com/oatpin/oatpin/replication"
 	"github.com/oatpin/oatpin/wire"
 	"github.com/rotisserie/eris"
 	"github.com/vmihailenco/msgpack/v5"
@@ -71,7 +71,7 @@
 		if directory.Revision(rev) <= from {
 			return
 		}
-		delta, err := n.Since(context.Background(), dirsync.Addr(p.Addr), from, 0)
+		delta, err := n.Since(context.Background(), replication.Addr(p.Addr), from, 0)
 		if err != nil {
 			n.decisions.Log("catch_up_failed", func() log.Fields { return log.Fields{"peer": p.Addr, "error": err.Error()} })
 			return
@@ -82,8 +82,8 @@
 	}()
 }
 
-// Since implements dirsync.Peers.
-func (n *Node) Since(ctx context.Context, addr dirsync.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
+// Since implements replication.Peers.
+func (n *Node) Since(ctx context.Context, addr replication.Addr, after directory.Revision, wait time.Duration) (directory.Delta, error) {
 	var none directory.Delta
 	body, err := msgpack.Marshal(deltaRequest{After: after, Wait: wait, Cursor: n.peerCursors.get(addr)})
 	if err != nil {
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(n.untilDrain, cancel)()
-	n.dirSync.PeerPolled()
+	n.syncer.PeerPolled()
 	if req.Cursor != nil {
 		go cancelOnUpdate(ctx, n.quarantine.Watch(*req.Cursor), cancel)
 	}
--- a/sidecar/catchup_test.go
+++ b/sidecar/catchup_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/dirsync"
+	"github.com/oatpin/oatpin/replication"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func (v *vm) addr() dirsync.Addr { return dirsync.Addr(v.node.cfg.PeerAddr) }
+func (v *vm) addr() replication.Addr { return replication.Addr(v.node.cfg.PeerAddr) }
 
 // A long poll must return a change as soon as the peer learns of it.
 func TestSinceReturnsPeerChanges(t *testing.T) {
--- a/sidecar/identity_test.go
+++ b/sidecar/identity_test.go
@@ -6,7 +6,7 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/dirsync"
+	"github.com/oatpin/oatpin/replication"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
@@ -19,6 +19,6 @@
 		So(err, ShouldBeNil)
 		others, err := n.peerFor(directory.Instance{Addr: "10.1.0.8:8301"})
 		So(err, ShouldBeNil)
-		So(n.dirSync.Self(), ShouldEqual, dirsync.Addr(others.Addr))
+		So(n.syncer.Self(), ShouldEqual, replication.Addr(others.Addr))
 	})
 }
--- a/sidecar/node.go
+++ b/sidecar/node.go
@@ -16,8 +16,8 @@
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/callgraph"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
+	"github.com/oatpin/oatpin/replication"
 	"github.com/oatpin/oatpin/slots"
 	"github.com/oatpin/oatpin/targetconn"
 	"github.com/oatpin/oatpin/timeline"
@@ -106,7 +106,7 @@
 		peerCursors  cursorTable               // positions in the quarantine records of peers
 		limiter      *account.Limiter
 		exchange     *account.Exchange // shares account usage between nodes
-		dirSync      *dirsync.Syncer
+		syncer       *replication.Syncer
 		target       *targetconn.Pool
 		peers        *wire.Pool
 		peerPort     string
@@ -163,7 +163,7 @@
 		retryBudgets: map[string]*budget.RetryWindow{},
 		vouchQueries: pendingQueries{pending: map[directory.Incarnation]bool{}},
 		isolation:    quarantine.NewIsolationLock(),
-		peerCursors:  cursorTable{cursors: map[dirsync.Addr]quarantine.Cursor{}},
+		peerCursors:  cursorTable{cursors: map[replication.Addr]quarantine.Cursor{}},
 		stop:         make(chan struct{}),
 
 		dropHeaders:             newDropHeaders(cfg.Headers, false),
@@ -174,7 +174,7 @@
 		return nil, err
 	}
 	n.untilDrain, n.startDrain = context.WithCancel(context.Background())
-	n.dirSync = dirsync.New(n.dirSyncConfig(self))
+	n.syncer = replication.New(n.syncerConfig(self))
 	n.limiter = account.NewLimiter()
 	n.exchange = n.newExchange()
 	n.quarantine = quarantine.NewTracker(quarantine.Config{Disabled: !cfg.Policies.Quarantine, Log: cfg.Log})
@@ -232,26 +232,26 @@
 	}
 }
 
-// dirSyncConfig returns the configuration of the node's Syncer. self is the
+// syncerConfig returns the configuration of the node's Syncer. self is the
 // address at which other nodes reach this one, derived from its instance. The
 // listen address may differ from it (such as 0.0.0.0); a node that used it as
 // its own would not recognize itself as a reader of the directory source.
-func (n *Node) dirSyncConfig(self wire.Peer) dirsync.Config {
-	cfg := dirsync.Config{Directory: n.dir, Source: n.cfg.Source, Self: dirsync.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
-	cfg.NodeAddr = func(in directory.Instance) (dirsync.Addr, error) {
+func (n *Node) syncerConfig(self wire.Peer) replication.Config {
+	cfg := replication.Config{Directory: n.dir, Source: n.cfg.Source, Self: replication.Addr(self.Addr), DC: n.cfg.DC, Log: n.log}
+	cfg.NodeAddr = func(in directory.Instance) (replication.Addr, error) {
 		p, err := n.peerFor(in)
-		return dirsync.Addr(p.Addr), err
+		return replication.Addr(p.Addr), err
 	}
 	for _, s := range n.cfg.Seeds {
-		cfg.Seeds = append(cfg.Seeds, dirsync.Addr(s))
+		cfg.Seeds = append(cfg.Seeds, replication.Addr(s))
 	}
-	cfg.Peers = choose[dirsync.Peers](n.cfg.Policies.Readers, n, nil)
+	cfg.Peers = choose[replication.Peers](n.cfg.Policies.Readers, n, nil)
 	return cfg
 }
 
 func (n *Node) runBackground() {
 	ctx, cancel := context.WithCancel(context.Background())
-	go n.dirSync.Run(ctx)
+	go n.syncer.Run(ctx)
 	go n.exchange.Run(ctx)
 	<-n.stop
 	cancel()
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -7,8 +7,8 @@
 
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/call"
-	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
+	"github.com/oatpin/oatpin/replication"
 	"github.com/oatpin/oatpin/wire"
 	"github.com/rotisserie/eris"
 	"github.com/vmihailenco/msgpack/v5"
@@ -47,7 +47,7 @@
 	// each peer.
 	cursorTable struct {
 		mu      sync.Mutex
-		cursors map[dirsync.Addr]quarantine.Cursor
+		cursors map[replication.Addr]quarantine.Cursor
 	}
 )
 
@@ -71,12 +71,12 @@
 	queue.fingerprints = nil
 	queue.mu.Unlock()
 	body := n.encodeReport(n.quarantine.Records(fingerprints))
-	for _, addr := range n.dirSync.OtherReaders() {
+	for _, addr := range n.syncer.OtherReaders() {
 		go n.sendReportWithRetry(addr, body)
 	}
 }
 
-func (n *Node) sendReportWithRetry(addr dirsync.Addr, body []byte) {
+func (n *Node) sendReportWithRetry(addr replication.Addr, body []byte) {
 	var err error
 	for range reportAttempts {
 		if err = n.sendReport(addr, body); err == nil {
@@ -91,7 +91,7 @@
 	n.decisions.Log("ends_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
 }
 
-func (n *Node) sendReport(addr dirsync.Addr, body []byte) error {
+func (n *Node) sendReport(addr replication.Addr, body []byte) error {
 	ctx, cancel := context.WithTimeout(context.Background(), answerTimeout)
 	defer cancel()
 	a, err := n.callNode(ctx, addr, exitReportOperation, body)
@@ -107,7 +107,7 @@
 
 // callNode sends an operation to another node. It returns errNotAccepted if
 // that node refuses it.
-func (n *Node) callNode(ctx context.Context, addr dirsync.Addr, operation string, body []byte) (call.Answer, error) {
+func (n *Node) callNode(ctx context.Context, addr replication.Addr, operation string, body []byte) (call.Answer, error) {
 	conn, err := n.dial(ctx, wire.Peer{Addr: string(addr)})
 	if err != nil {
 		return call.Answer{}, err
@@ -156,7 +156,7 @@
 
 // applyUpdate applies the quarantine records in another node's response. A
 // node that keeps none sends an empty update.
-func (n *Node) applyUpdate(addr dirsync.Addr, update []byte) {
+func (n *Node) applyUpdate(addr replication.Addr, update []byte) {
 	if len(update) == 0 {
 		return
 	}
@@ -170,14 +170,14 @@
 	n.peerCursors.set(addr, report.Next)
 }
 
-func (t *cursorTable) get(addr dirsync.Addr) *quarantine.Cursor {
+func (t *cursorTable) get(addr replication.Addr) *quarantine.Cursor {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := t.cursors[addr]
 	return &c
 }
 
-func (t *cursorTable) set(addr dirsync.Addr, cursor quarantine.Cursor) {
+func (t *cursorTable) set(addr replication.Addr, cursor quarantine.Cursor) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.cursors[addr] = cursor
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -10,8 +10,8 @@
 	"github.com/oatpin/oatpin/account"
 	"github.com/oatpin/oatpin/call"
 	"github.com/oatpin/oatpin/directory"
-	"github.com/oatpin/oatpin/dirsync"
 	"github.com/oatpin/oatpin/quarantine"
+	"github.com/oatpin/oatpin/replication"
 )
 
 // Causes of refusals, as counted in oatpin_refused_total.
@@ -174,15 +174,15 @@
 		s.set.NewGauge(fmt.Sprintf(`oatpin_requests_kept_apart{node=%q,stage=%q}`, s.node, st), func() float64 { return float64(n.quarantine.Count(st)) })
 	}
 	gauge("oatpin_source_away", func() float64 { return boolGauge(n.dir.SourceUnreachable()) })
-	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.dirSync.IsReader()) })
+	gauge("oatpin_source_reader", func() float64 { return boolGauge(n.syncer.IsReader()) })
 	gauge("oatpin_directory_age_seconds", func() float64 { return n.dir.Age().Seconds() })
-	for name, f := range map[string]func(dirsync.Counts) int64{
-		"oatpin_source_reads_total":        func(c dirsync.Counts) int64 { return c.SourceCalls },
-		"oatpin_source_reads_failed_total": func(c dirsync.Counts) int64 { return c.SourceErrors },
-		"oatpin_reader_asked_total":        func(c dirsync.Counts) int64 { return c.PeerPolls },
-		"oatpin_reader_asked_failed_total": func(c dirsync.Counts) int64 { return c.PeerErrors },
+	for name, f := range map[string]func(replication.Counts) int64{
+		"oatpin_source_reads_total":        func(c replication.Counts) int64 { return c.SourceCalls },
+		"oatpin_source_reads_failed_total": func(c replication.Counts) int64 { return c.SourceErrors },
+		"oatpin_reader_asked_total":        func(c replication.Counts) int64 { return c.PeerPolls },
+		"oatpin_reader_asked_failed_total": func(c replication.Counts) int64 { return c.PeerErrors },
 	} {
-		gauge(name, func() float64 { return float64(f(n.dirSync.Counts())) })
+		gauge(name, func() float64 { return float64(f(n.syncer.Counts())) })
 	}
 }
 
--- a/sidecar/usage.go
+++ b/sidecar/usage.go
@@ -6,7 +6,7 @@
 	"github.com/apex/log"
 	"github.com/oatpin/oatpin/account"
 	"github.com/oatpin/oatpin/call"
-	"github.com/oatpin/oatpin/dirsync"
+	"github.com/oatpin/oatpin/replication"
 	"github.com/rotisserie/eris"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -21,7 +21,7 @@
 // node knows which they are.
 func (n *Node) newExchange() *account.Exchange {
 	return account.NewExchange(account.ExchangeConfig{
-		Self: account.Source(n.dirSync.Self()), DC: account.Source(n.cfg.DC),
+		Self: account.Source(n.syncer.Self()), DC: account.Source(n.cfg.DC),
 		Registry: n.accountRegistry, Collectors: n.collectors, Send: n.reportUsage,
 		OnError: func(addr account.Source, err error) {
 			n.decisions.Log("usage_not_told", func() log.Fields { return log.Fields{"peer": addr, "error": err.Error()} })
@@ -40,7 +40,7 @@
 // collectors returns the addresses of the nodes that collect usage reports, in
 // this data centre and in each other one, and the number of all nodes.
 func (n *Node) collectors() (own []account.Source, others [][]account.Source, total int) {
-	localAddrs, remoteAddrs, total := n.dirSync.Collectors()
+	localAddrs, remoteAddrs, total := n.syncer.Collectors()
 	for _, dc := range remoteAddrs {
 		others = append(others, accountSources(dc))
 	}
@@ -48,7 +48,7 @@
 }
 
 // accountSources converts node addresses to sources of usage reports.
-func accountSources(addrs []dirsync.Addr) []account.Source {
+func accountSources(addrs []replication.Addr) []account.Source {
 	out := make([]account.Source, 0, len(addrs))
 	for _, a := range addrs {
 		out = append(out, account.Source(a))
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode usage")
 	}
-	a, err := n.callNode(ctx, dirsync.Addr(addr), usageOperation, body)
+	a, err := n.callNode(ctx, replication.Addr(addr), usageOperation, body)
 	if err != nil {
 		return nil, err
 	}
