--- a/owner/arbiter.go
+++ b/owner/arbiter.go
@@ -56,7 +56,7 @@
 		vmListRead bool
 	}
 
-	// appliedGraph is a call graph and the time from which it was in force at
+	// appliedGraph is a call graph and the time from which it was active at
 	// this node; for the first graph, the time when it was accepted.
 	appliedGraph struct {
 		graph     *callgraph.Graph
@@ -75,8 +75,8 @@
 // have run in an earlier process of this instance.
 func (a *Arbiter) Started() time.Time { return a.started }
 
-// SetGraph records that g is in force from now on. For the first graph, the
-// time of acceptance limits how long routers have used it.
+// SetGraph records that g is active from now on. For the first graph, the time
+// of acceptance limits how long routers have used it.
 func (a *Arbiter) SetGraph(g *callgraph.Graph) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -16,8 +16,7 @@
 
 const (
 	// exitReportOperation reports target exits and the requests that were
-	// running.
-	// The request body is a quarantine.Report.
+	// running. The request body is a quarantine.Report.
 	exitReportOperation = "quarantine.ends"
 	// reportBatchDelay is how long reports are collected before they are
 	// sent, because an exit affects all requests in progress. It is shorter
